--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -109,9 +109,9 @@
 
 // packet is what the two processes tell each other, one thing in each.
 type packet struct {
-	Ready   bool     `json:",omitempty"` // from the successor: it can serve
-	Stands  *stands  `json:",omitempty"` // with a client's socket and its server's
-	Unasked *unasked `json:",omitempty"` // with a client's socket
+	Ready   bool     `json:",omitempty"`        // from the successor: it can serve
+	Stands  *stands  `json:"Stands,omitempty"`  // with a client's socket and its server's
+	Unasked *unasked `json:"Unasked,omitempty"` // with a client's socket
 
 	Memory     *logic.Memory `json:",omitempty"` // a part of what the decisions know; the last part has the rest of it
 	Evacuating bool          `json:",omitempty"` // clients are being sent away
@@ -129,14 +129,14 @@
 	Class  string
 	Server string
 	Load   float64
-	Since  logic.Micros
-	Sent   []logic.Micros
+	Since  logic.Micros   `json:"Since"`
+	Sent   []logic.Micros `json:"Sent"`
 }
 
 // unasked is a client that has not said all of its first line.
 type unasked struct {
-	Said []byte
-	Came logic.Micros
+	Said []byte       `json:"Said"`
+	Came logic.Micros `json:"Came"`
 }
 
 func (p *Proxy) sayNext(to *succession.Channel, what packet, files ...int) bool {
--- a/logic/types.go
+++ b/logic/types.go
@@ -101,33 +101,41 @@
 
 // Memory is what an instance knows, for the one that takes its place on the same clock.
 type Memory struct {
-	Servers           []ServerMemory
-	Setup, Unit       Follow
-	Crowd, Home, Rate float64
-	Stood             Micros
-	Failing           []ServerID
+	Servers []ServerMemory
+	Setup   Follow     `json:"Setup"`
+	Unit    Follow     `json:"Unit"`
+	Crowd   float64    `json:"Crowd"`
+	Home    float64    `json:"Home"`
+	Rate    float64    `json:"Rate"`
+	Stood   Micros     `json:"Stood"`
+	Failing []ServerID `json:"Failing"`
 }
 
 // Follow is a followed quantity's mean and mean deviation; Seen is false where there is none yet.
 type Follow struct {
-	Mean, Spread float64
-	Seen         bool
+	Mean   float64
+	Spread float64 `json:"Spread"`
+	Seen   bool    `json:"Seen"`
 }
 
 // ServerMemory is the account of one server as an instance sees it.
 type ServerMemory struct {
-	ID                     ServerID
-	Launched               Micros
-	Tries, Fails           float64
-	Shunned                Micros  // passed over until then, for its failures or what it dropped
-	Pace                   float64 // what it is seen to do against its weight; 1 at first
-	Delay, DelayAt         Micros
-	Falling                bool
-	ProbeAt, Quick, Probed Micros    // its next probe; its quickest and its last answer to one
-	Chance                 float64   // settles fractions of a connection in the cold budget
-	Drawn                  Micros    // when that was drawn
-	SentAt                 []Micros  // sends while cold
-	SentUnits              []float64 // their loads
+	ID        ServerID
+	Launched  Micros    `json:"Launched"`
+	Tries     float64   `json:"Tries"`
+	Fails     float64   `json:"Fails"`
+	Shunned   Micros    `json:"Shunned"` // passed over until then, for its failures or what it dropped
+	Pace      float64   `json:"Pace"`    // what it is seen to do against its weight; 1 at first
+	Delay     Micros    `json:"Delay"`
+	DelayAt   Micros    `json:"DelayAt"`
+	Falling   bool      `json:"Falling"`
+	ProbeAt   Micros    `json:"ProbeAt"`
+	Quick     Micros    `json:"Quick"`
+	Probed    Micros    `json:"Probed"`    // its next probe; its quickest and its last answer to one
+	Chance    float64   `json:"Chance"`    // settles fractions of a connection in the cold budget
+	Drawn     Micros    `json:"Drawn"`     // when that was drawn
+	SentAt    []Micros  `json:"SentAt"`    // sends while cold
+	SentUnits []float64 `json:"SentUnits"` // their loads
 }
 
 // Verdict is what is to be done with an attachment.
