--- a/internal/proxy/narrow_test.go
+++ b/internal/proxy/races_test.go
@@ -17,9 +17,9 @@
 	"hatchproxy/lab/fleet"
 )
 
-// stuffed is a server whose connections take no more bytes when the proxy gets them, as the kernel's buffers are full of
+// startWithBlockedServer is a server whose connections take no more bytes when the proxy gets them, as the kernel's buffers are full of
 // probes: what the proxy writes waits in its own. The server reads when the test does.
-func stuffed(t *testing.T) (*stage, <-chan net.Conn) {
+func startWithBlockedServer(t *testing.T) (*harness, <-chan net.Conn) {
 	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 	}}
@@ -36,9 +36,9 @@
 			came <- c
 		}
 	}()
-	s, _ := playBook(t, unprobed, 1024, func(p *proxy.Proxy) {
-		p.Tell()
-		p.Between(func(c net.Conn, err error) (net.Conn, error) {
+	s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(p *proxy.Proxy) {
+		p.EnableMetrics()
+		p.InterceptDials(func(c net.Conn, err error) (net.Conn, error) {
 			if err != nil {
 				return c, err
 			}
@@ -70,11 +70,11 @@
 	return s, came
 }
 
-// heldDials has what a proxy's dials bring wait until the test releases it; each is told as it comes up.
-func heldDials() (hold func(*proxy.Proxy), dialled chan struct{}, release chan struct{}) {
+// holdDials has what a proxy's dials bring wait until the test releases it; each is told as it comes up.
+func holdDials() (hold func(*proxy.Proxy), dialled chan struct{}, release chan struct{}) {
 	dialled, release = make(chan struct{}, 100), make(chan struct{})
 	return func(p *proxy.Proxy) {
-		p.Between(func(c net.Conn, err error) (net.Conn, error) {
+		p.InterceptDials(func(c net.Conn, err error) (net.Conn, error) {
 			dialled <- struct{}{}
 			<-release
 			return c, err
@@ -82,32 +82,32 @@
 	}, dialled, release
 }
 
-// unsent opens a request whose line waits in the proxy. On a busy machine the kernel may find room for it after all, when
+// openUnsent opens a request whose line waits in the proxy. On a busy machine the kernel may find room for it after all, when
 // what is under way on loopback comes late: then it is another one's turn.
-func (s *stage) unsent(came <-chan net.Conn, list string) (*caller, net.Conn) {
+func (s *harness) openUnsent(came <-chan net.Conn, list string) (*testClient, net.Conn) {
 	s.Helper()
 	for sends := 1; sends <= 20; sends++ {
-		c := s.open(list)
+		c := s.openRequest(list)
 		server := <-came
-		s.shows(fmt.Sprint("sends ", sends))
+		s.waitForMetrics(fmt.Sprint("sends ", sends))
 		waits := true
 		for range 10 {
-			waits = waits && s.proxy.Unsent() == 1
+			waits = waits && s.proxy.CountUnsentAttempts() == 1
 			time.Sleep(5 * time.Millisecond) // it is to wait for a while, not for a moment
 		}
 		if waits {
 			return c, server
 		}
 		require.NoError(s, c.Close())
-		s.shows("current 0")
+		s.waitForMetrics("current 0")
 		require.NoError(s, server.Close())
 	}
 	require.Fail(s, "the kernel took all lines")
 	return nil, nil
 }
 
-// all reads what comes to a server until nothing has come for a while, or the end.
-func all(t *testing.T, c net.Conn) string {
+// readUntilQuiet reads what comes to a server until nothing has come for a while, or the end.
+func readUntilQuiet(t *testing.T, c net.Conn) string {
 	var b strings.Builder
 	part := make([]byte, 64<<10)
 	for {
@@ -122,23 +122,23 @@
 
 // A client left while its line was still in the proxy's buffer, and the line went out as soon as there was room.
 func TestALineThatIsNotOutIsNotSentOnceItsClientIsGone(t *testing.T) {
-	s, came := stuffed(t)
-	c, server := s.unsent(came, "c=pay,d=1500")
+	s, came := startWithBlockedServer(t)
+	c, server := s.openUnsent(came, "c=pay,d=1500")
 	defer server.Close()
 	require.NoError(t, c.Close())
-	s.shows("current 0")
-	require.False(t, strings.Contains(all(t, server), "OPEN"), "its line came")
+	s.waitForMetrics("current 0")
+	require.False(t, strings.Contains(readUntilQuiet(t, server), "OPEN"), "its line came")
 }
 
 // A one-shot line was taken late, by a buffer that had been full, and its server broke off: it may have run.
 func TestALineThatWentOutLateMayHaveRun(t *testing.T) {
-	s, came := stuffed(t)
-	c := s.open("c=pay,d=1500")
+	s, came := startWithBlockedServer(t)
+	c := s.openRequest("c=pay,d=1500")
 	server := <-came
-	s.shows("sends 1")
-	require.True(t, strings.Contains(all(t, server), "OPEN"), "its line came")
+	s.waitForMetrics("sends 1")
+	require.True(t, strings.Contains(readUntilQuiet(t, server), "OPEN"), "its line came")
 	fleet.Reset(server)
-	c.hears("ERR")
+	c.expectLine("ERR")
 	select {
 	case <-came:
 		require.Fail(t, "it was sent again")
@@ -148,20 +148,20 @@
 
 // A line that never went out has never run: trying again is harmless, and the rest of it is not sent.
 func TestALineThatNeverWentOutIsPushedBack(t *testing.T) {
-	s, came := stuffed(t)
-	c, server := s.unsent(came, "c=pay,d=800")
+	s, came := startWithBlockedServer(t)
+	c, server := s.openUnsent(came, "c=pay,d=800")
 	defer server.Close()
-	c.hears("BUSY")
-	require.False(t, strings.Contains(all(t, server), "OPEN"), "its line came")
+	c.expectLine("BUSY")
+	require.False(t, strings.Contains(readUntilQuiet(t, server), "OPEN"), "its line came")
 }
 
-// gone waits until the proxy knows that a client has left: its id may come again.
-func (s *stage) gone(id string) {
+// waitUntilClientGone waits until the proxy knows that a client has left: its id may come again.
+func (s *harness) waitUntilClientGone(id string) {
 	s.Helper()
 	require.Eventually(s, func() bool {
-		again := s.call("OPEN " + id + " 7 c=chat,d=5\r\n")
+		again := s.dial("OPEN " + id + " 7 c=chat,d=5\r\n")
 		defer again.Close()
-		line, err := again.in.ReadString('\n')
+		line, err := again.reader.ReadString('\n')
 		return err == nil && line != "ERR this id is open\r\n"
 	}, 5*time.Second, 10*time.Millisecond)
 }
@@ -169,30 +169,30 @@
 // Whatever a request waits for, nothing is sent for it once its client has left.
 func TestNothingIsSentForAClientThatHasLeft(t *testing.T) {
 	t.Run("it waits for a server on the list", func(t *testing.T) {
-		s, _ := playBook(t, unprobed, 1024, func(*proxy.Proxy) {})
-		require.NoError(t, s.call("OPEN 99 7 c=pay,d=1500\r\n").Close())
-		s.gone("99")
+		s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {})
+		require.NoError(t, s.dial("OPEN 99 7 c=pay,d=1500\r\n").Close())
+		s.waitUntilClientGone("99")
 		server, err := fleet.NewPuppet(nil)
 		require.NoError(t, err)
 		s.list.Set("s0", server.Address, "ready")
-		s.open("c=pay,d=1500").hears("UP puppet")
+		s.openRequest("c=pay,d=1500").expectLine("UP puppet")
 		require.Len(t, server.Lines(), 1, "that of the one that is still there")
 	})
 	t.Run("it waits for a dial", func(t *testing.T) {
-		hold, dialled, release := heldDials()
-		s, _ := playBook(t, unprobed, 1024, hold)
+		hold, dialled, release := holdDials()
+		s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, hold)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer l.Close()
 		s.list.Set("s0", l.Addr().String(), "ready")
-		c := s.call("OPEN 99 7 c=pay,d=1500\r\n")
+		c := s.dial("OPEN 99 7 c=pay,d=1500\r\n")
 		require.NoError(t, l.(*net.TCPListener).SetDeadline(time.Now().Add(5*time.Second)))
 		server, err := l.Accept()
 		require.NoError(t, err)
 		defer server.Close()
 		<-dialled
 		require.NoError(t, c.Close())
-		s.gone("99")
+		s.waitUntilClientGone("99")
 		close(release)
 		require.NoError(t, server.SetReadDeadline(time.Now().Add(5*time.Second)))
 		text, err := io.ReadAll(server)
@@ -203,10 +203,10 @@
 
 // The last word of a server reaches a client that goes on sending: a close over what it sent would be a reset.
 func TestTheLastWordOfAServerReachesAClientThatStillSends(t *testing.T) {
-	s, servers := play(t, 1024, "UP a")
+	s, servers := startProxy(t, 1024, "UP a")
 	for range 20 {
-		c := s.open("c=chat,d=1500")
-		c.hears("UP a")
+		c := s.openRequest("c=chat,d=1500")
+		c.expectLine("UP a")
 		at := servers[0].Last()
 		stop := make(chan struct{})
 		go func() {
@@ -232,42 +232,42 @@
 
 // What was still dialled for when the proxy had to settle was told as failed, though nothing had been sent.
 func TestWhatIsDialledForWhenTheProxySettlesNeverRan(t *testing.T) {
-	hold, dialled, release := heldDials()
-	s, servers := playBook(t, unprobed, 1024, hold, "UP a")
-	c := s.open("c=pay,d=1500")
+	hold, dialled, release := holdDials()
+	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, hold, "UP a")
+	c := s.openRequest("c=pay,d=1500")
 	<-dialled
-	s.proxy.Settle()
-	c.hears("BUSY")
+	s.proxy.AnswerPending()
+	c.expectLine("BUSY")
 	close(release)
 	require.Empty(t, servers[0].Lines())
 }
 
 // Signals come again, and a new configuration in the midst of leaving.
 func TestFurtherSignalsDoNotDisturbALeave(t *testing.T) {
-	s, _ := playBook(t, unprobed, 1024, func(*proxy.Proxy) {}, "UP a")
-	standing := s.open("c=chat,d=1500")
-	standing.hears("UP a")
+	s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {}, "UP a")
+	standing := s.openRequest("c=chat,d=1500")
+	standing.expectLine("UP a")
 	began := time.Now()
-	s.leave <- syscall.SIGTERM
-	s.retune(unprobed, "chat", "pay")
-	s.leave <- syscall.SIGTERM
-	standing.hears("MOVE")
-	require.NoError(t, <-s.ended)
+	s.leaveSignals <- syscall.SIGTERM
+	s.reloadConfig(configWithoutProbes, "chat", "pay")
+	s.leaveSignals <- syscall.SIGTERM
+	standing.expectLine("MOVE")
+	require.NoError(t, <-s.runResult)
 	require.Less(t, time.Since(began), 2300*time.Millisecond)
 }
 
 // A client rested until the proxy left, and asked then: it hears at once that it may try elsewhere.
 func TestARequestOnARestingConnectionOfAProxyThatLeavesIsPushedBack(t *testing.T) {
-	s, servers := playBook(t, unprobed, 1024, func(*proxy.Proxy) {}, "UP a")
-	resting := s.call("PING\r\n")
-	resting.hears("PONG")
-	pending := s.open("c=pay,d=1500") // keeps it from ending at once
-	pending.hears("UP a")
-	s.leave <- syscall.SIGTERM
-	require.Eventually(t, func() bool { return s.answers() == "BUSY" }, 2*time.Second, 5*time.Millisecond, "it takes no more")
+	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {}, "UP a")
+	resting := s.dial("PING\r\n")
+	resting.expectLine("PONG")
+	pending := s.openRequest("c=pay,d=1500") // keeps it from ending at once
+	pending.expectLine("UP a")
+	s.leaveSignals <- syscall.SIGTERM
+	require.Eventually(t, func() bool { return s.openAndReadAnswer() == "BUSY" }, 2*time.Second, 5*time.Millisecond, "it takes no more")
 	sent := len(servers[0].Lines())
-	resting.says("OPEN 98 7 c=pay,d=1500\r\n")
-	resting.hears("BUSY")
+	resting.send("OPEN 98 7 c=pay,d=1500\r\n")
+	resting.expectLine("BUSY")
 	require.Len(t, servers[0].Lines(), sent)
 }
 
@@ -278,11 +278,11 @@
 		strings.Repeat("x", 10_000): "ERR", "UP " + strings.Repeat("x", 10_000): "ERR",
 	} {
 		t.Run(answer[:4], func(t *testing.T) {
-			s, _ := playBook(t, unprobed, 1024, func(*proxy.Proxy) {}, answer)
-			c := s.open("c=pay,d=1500")
-			c.hears(want)
+			s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {}, answer)
+			c := s.openRequest("c=pay,d=1500")
+			c.expectLine(want)
 			require.NoError(t, c.SetReadDeadline(time.Now().Add(5*time.Second)))
-			more, err := io.ReadAll(c.in)
+			more, err := io.ReadAll(c.reader)
 			require.NoError(t, err)
 			require.Empty(t, string(more))
 		})
@@ -291,30 +291,30 @@
 
 // A proxy ended while a server was within a line: its client was cut off with half of it, and without MOVE.
 func TestALineThatIsHalfThroughIsWaitedForAtTheEnd(t *testing.T) {
-	s, servers := playBook(t, unprobed, 1024, func(*proxy.Proxy) {}, "UP a")
-	c := s.open("c=chat,d=1500")
-	c.hears("UP a")
+	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {}, "UP a")
+	c := s.openRequest("c=chat,d=1500")
+	c.expectLine("UP a")
 	server := servers[0].Last()
 	_, err := io.WriteString(server, "M ")
 	require.NoError(t, err)
-	half, err := c.in.Peek(2)
+	half, err := c.reader.Peek(2)
 	require.NoError(t, err)
 	require.Equal(t, "M ", string(half))
 	s.proxy.Quit()
 	_, err = io.WriteString(server, "1\r\n")
 	require.NoError(t, err)
-	c.hears("M 1")
-	c.hears("MOVE")
-	require.NoError(t, <-s.ended)
+	c.expectLine("M 1")
+	c.expectLine("MOVE")
+	require.NoError(t, <-s.runResult)
 }
 
 // Room was made by closing a connection over bytes that had just come: a reset, and the word to try again went with it.
 func TestWhoMakesRoomHearsItsLastWordOverBytesThatHaveJustCome(t *testing.T) {
-	s, _ := playBook(t, unprobed, 1024, func(*proxy.Proxy) {})
-	c := s.call("PING\r\n")
-	c.hears("PONG")
-	s.proxy.Evict(func() { c.says("OPEN 97 7 c=pay,") })
-	text, err := io.ReadAll(c.in)
+	s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {})
+	c := s.dial("PING\r\n")
+	c.expectLine("PONG")
+	s.proxy.EvictIdleAfter(func() { c.send("OPEN 97 7 c=pay,") })
+	text, err := io.ReadAll(c.reader)
 	require.NoError(t, err, "an end, not a reset")
 	require.Equal(t, "BUSY\r\n", string(text))
 }
@@ -322,18 +322,18 @@
 // A client left while its attempt was being dialled, and the loop had not come to read that when the dial came up: nothing is
 // sent, also in the very turn in which both come.
 func TestNothingIsSentForAClientWhoseEndHasNotBeenRead(t *testing.T) {
-	hold, dialled, release := heldDials()
-	s, servers := playBook(t, unprobed, 1024, func(p *proxy.Proxy) {
-		p.Tell()
+	hold, dialled, release := holdDials()
+	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, func(p *proxy.Proxy) {
+		p.EnableMetrics()
 		hold(p)
 	}, "UP a")
-	c := s.open("c=pay,d=1500")
+	c := s.openRequest("c=pay,d=1500")
 	<-dialled
-	s.proxy.Stall(func() {
+	s.proxy.StallLoopDuring(func() {
 		require.NoError(t, c.Close())
 		close(release)
 		time.Sleep(100 * time.Millisecond) // the dial's result waits for the loop, with the client's end behind it
 	})
-	s.shows("current 0")
+	s.waitForMetrics("current 0")
 	require.Empty(t, servers[0].Lines())
 }
--- a/internal/proxy/register.go
+++ b/internal/proxy/register.go
@@ -19,9 +19,9 @@
 // report.
 var errNotRegistered = errors.New("the event loop did not take a connection")
 
-// registering is how long a connection that was accepted is tried to be registered; then its client is turned away, while
+// registerTimeout is how long a connection that was accepted is tried to be registered; then its client is turned away, while
 // it still has time to try elsewhere.
-const registering = 250 * time.Millisecond
+const registerTimeout = 250 * time.Millisecond
 
 // registration is a connection's context until the loop has opened it.
 type registration struct {
@@ -52,22 +52,22 @@
 	return nil
 }
 
-// registerFirmly does the same once more with a connection's descriptor, again while calls fail for a moment. One that cannot be
+// registerWithRetry does the same once more with a connection's descriptor, again while calls fail for a moment. One that cannot be
 // registered for a while is ended with a word. Guards against a client's connection that is closed without one, though
 // its request may have come. The file is closed in any case.
-func (p *Proxy) registerFirmly(side any, file *os.File, word []byte) error {
+func (p *Proxy) registerWithRetry(side any, file *os.File, word []byte) error {
 	defer file.Close()
-	ctx, cancel := context.WithTimeout(p.ctx, registering)
+	ctx, cancel := context.WithTimeout(p.ctx, registerTimeout)
 	defer cancel()
-	err := transient.Retry(ctx, transient.Backoff{First: time.Millisecond, Longest: 20 * time.Millisecond}, always, func() error {
-		p.post(func() { p.counts.RegisterRetries++ })
+	err := transient.Retry(ctx, transient.Backoff{Initial: time.Millisecond, Max: 20 * time.Millisecond}, alwaysRetry, func() error {
+		p.post(func() { p.counters.RegisterRetries++ })
 		return p.registerFile(side, file)
 	})
 	if err != nil && p.ctx.Err() == nil {
 		p.log.Warn("a connection is turned away, as it cannot be registered", "error", err)
 	}
 	if err != nil {
-		turnAway(file, word)
+		rejectFile(file, word)
 	}
 	return err
 }
@@ -81,10 +81,10 @@
 	return p.register(side, conn)
 }
 
-func always(error) bool { return true }
+func alwaysRetry(error) bool { return true }
 
-// turnAway says a last word on a connection that the loop never had. The file is closed by its owner.
-func turnAway(file *os.File, word []byte) {
+// rejectFile says a last word on a connection that the loop never had. The file is closed by its owner.
+func rejectFile(file *os.File, word []byte) {
 	raw, err := file.SyscallConn()
 	if err != nil {
 		return
@@ -98,11 +98,11 @@
 
 // acceptClient has the loop take a client's connection.
 func (p *Proxy) acceptClient(file *os.File) {
-	c := &client{came: p.now()}
+	c := &client{connectedAt: p.now()}
 	if err := p.registerFile(c, file); err == nil {
 		_ = file.Close()
 		return
 	}
 	// Beside the acceptor: those behind it at the door are not held up.
-	go func() { _ = p.registerFirmly(c, file, protocol.Refusal(0)) }() // what fails was logged, and the client told
+	go func() { _ = p.registerWithRetry(c, file, protocol.BusyLine(0)) }() // what fails was logged, and the client told
 }
--- /dev/null
+++ b/internal/proxy/reload_test.go
@@ -0,0 +1,73 @@
+package proxy_test
+
+import (
+	"errors"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"hatchproxy/internal/discovery"
+	"hatchproxy/internal/platformconfig"
+	"hatchproxy/internal/proxy"
+	"hatchproxy/lab/fleet"
+	"hatchproxy/logic"
+)
+
+// reloadConfig has the proxy read its configuration again: text is the book, names are its classes in order.
+func (s *harness) reloadConfig(text string, names ...string) {
+	s.readConfig = func() (proxy.ReloadedConfig, error) {
+		rules, err := platformconfig.SettingsFromLines(text).NewBalancer(9)
+		limits := make([]logic.Micros, len(names))
+		for i := range limits {
+			limits[i] = 900 * logic.Millisecond
+		}
+		return proxy.ReloadedConfig{Discovery: discovery.NewClient(s.list.Address(), time.Second), Balancer: rules, Classes: names, HardLimits: limits,
+			DialTimeout: 250 * logic.Millisecond, LateThreshold: 50 * logic.Millisecond}, err
+	}
+	s.reloadSignals <- syscall.SIGHUP
+}
+
+func TestClassesComeAndGoWhileOpenConnectionsGoOn(t *testing.T) {
+	s, _ := startProxyWith(t, 1024, (*proxy.Proxy).EnableMetrics)
+	taken := make(chan struct{}, 20)
+	server, err := fleet.NewPuppet(func(line string) string {
+		if strings.Contains(line, "x=1") {
+			taken <- struct{}{}
+			return "NONE"
+		}
+		return "UP a"
+	})
+	require.NoError(t, err)
+	s.list.Set("s0", server.Address, "ready")
+	s.waitForMetrics("cluster_size 1")
+	standing := s.openRequest("c=pay,d=1500")
+	standing.expectLine("UP a")
+	pending := s.openRequest("x=1,c=chat,d=20000") // harmless, and its dispatches time out
+	<-taken                                        // before the classes change: on a busy machine its line was read after that
+	text := strings.NewReplacer("0.name=chat", "0.name=chat-2", "0.idempotency=repeatable", "0.idempotency=once",
+		"max-dispatches=3", "max-dispatches=1").Replace(baseConfig)
+	s.reloadConfig(text, "chat-2", "pay")
+	s.waitForMetrics("conf_loaded 1", `transactions{group="chat-2",state="answered"} 0`, `transactions{group="pay",state="answered"} 1`)
+	s.openRequest("c=chat,d=1500").expectLine("ERR the class is unknown")
+	standing.send("M 1\r\n")
+	standing.expectLine("M 1")
+	began := time.Now()
+	s.openRequest("x=1,c=chat-2,d=20000").expectLine("ERR") // once only
+	require.Less(t, time.Since(began), 1100*time.Millisecond, "under its own hard limit")
+	pending.expectLine("BUSY")
+	s.waitForMetrics(`transactions{group="chat",state="deferred"} 1`, `transactions{group="chat-2",state="errored"} 1`)
+}
+
+func TestAFileThatIsTurnedDownChangesNothing(t *testing.T) {
+	s, _ := startProxyWith(t, 1024, (*proxy.Proxy).EnableMetrics, "UP a")
+	s.readConfig = func() (proxy.ReloadedConfig, error) { return proxy.ReloadedConfig{}, errors.New("cut short") }
+	s.reloadSignals <- syscall.SIGHUP
+	s.waitForMetrics("conf_invalid 1", "conf_loaded 0")
+	s.openRequest("c=chat,d=1500").expectLine("UP a")
+	s.reloadConfig(baseConfig, "chat", "pay")
+	s.waitForMetrics("conf_invalid 1", "conf_loaded 1")
+	s.openRequest("c=pay,d=1500").expectLine("UP a")
+}
--- a/internal/proxy/trace_test.go
+++ b/internal/proxy/trace_test.go
@@ -13,34 +13,34 @@
 	"hatchproxy/internal/proxy"
 )
 
-// kept is a log that may be read while it is written.
-type kept struct {
+// logBuffer is a log that may be read while it is written.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (k *kept) Write(b []byte) (int, error) {
+func (k *logBuffer) Write(b []byte) (int, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.text.Write(b)
 }
 
-func (k *kept) has(words string) bool {
+func (k *logBuffer) contains(words string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return strings.Contains(k.text.String(), words)
 }
 
 // tail is the end of the log.
-func (k *kept) tail(lines int) string {
+func (k *logBuffer) tail(lines int) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	all := strings.Split(strings.TrimSpace(k.text.String()), "\n")
 	return strings.Join(all[max(0, len(all)-lines):], "\n")
 }
 
-// steps are what the log tells of attachments, in order.
-func (k *kept) steps() (steps []string) {
+// traceSteps are what the log tells of attachments, in order.
+func (k *logBuffer) traceSteps() (steps []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for line := range strings.Lines(k.text.String()) {
@@ -56,15 +56,15 @@
 // Where a day's worth had gone could not be told from logs: they had set-ups and no ends, and no name that led from one
 // proxy to the next.
 func TestEachStepOfAClientIsInTheLogOfWhoAsksForIt(t *testing.T) {
-	log := &kept{}
-	s, _ := playBook(t, unprobed, 1024, func(p *proxy.Proxy) {
-		p.LogTo(slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug})))
+	log := &logBuffer{}
+	s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(p *proxy.Proxy) {
+		p.SetLogger(slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	}, "BUSY", "UP b")
-	c := s.open("c=chat,d=1500")
-	c.hears("UP b")
+	c := s.openRequest("c=chat,d=1500")
+	c.expectLine("UP b")
 	require.NoError(t, c.Close())
-	require.Eventually(t, func() bool { steps := log.steps(); return len(steps) > 0 && steps[len(steps)-1] == "ended" },
+	require.Eventually(t, func() bool { steps := log.traceSteps(); return len(steps) > 0 && steps[len(steps)-1] == "ended" },
 		5*time.Second, time.Millisecond)
-	steps := strings.Join(log.steps(), " ")
+	steps := strings.Join(log.traceSteps(), " ")
 	require.Contains(t, []string{"asked sent up ended", "asked sent failed sent up ended"}, steps)
 }
--- a/internal/succession/succession.go
+++ b/internal/succession/succession.go
@@ -19,39 +19,39 @@
 )
 
 const (
-	name = "hatchproxy.sock"
-	// largest is more than any packet has: a connection's is some hundred bytes, a first line has 4 KiB at most.
-	largest = 32 << 10
-	// mostFiles is how many descriptors come with a packet: a client's and a server's.
-	mostFiles = 2
-	// writing is how long a packet may wait for the other side; one that reads nothing is as good as gone.
-	writing = 500 * time.Millisecond
-	// finding bounds the search for a process that runs already.
-	finding = time.Second
-	// retrying is how long a packet is sent again that failed for a moment: its sender's loop waits meanwhile.
-	retrying = 50 * time.Millisecond
+	socketName = "hatchproxy.sock"
+	// maxPacketBytes is more than any packet has: a connection's is some hundred bytes, a first line has 4 KiB at most.
+	maxPacketBytes = 32 << 10
+	// maxFilesPerPacket is how many descriptors come with a packet: a client's and a server's.
+	maxFilesPerPacket = 2
+	// writeTimeout is how long a packet may wait for the other side; one that reads nothing is as good as gone.
+	writeTimeout = 500 * time.Millisecond
+	// dialTimeout bounds the search for a process that runs already.
+	dialTimeout = time.Second
+	// sendRetryTimeout is how long a packet is sent again that failed for a moment: its sender's loop waits meanwhile.
+	sendRetryTimeout = 50 * time.Millisecond
 )
 
-// Channel leads to the other process. One goroutine may send while another receives.
-type Channel struct{ conn *net.UnixConn }
+// Conn leads to the other process. One goroutine may send while another receives.
+type Conn struct{ conn *net.UnixConn }
 
 // Send sends a packet. The descriptors stay the caller's.
-func (c *Channel) Send(packet []byte, files ...int) error {
-	if len(packet) > largest {
+func (c *Conn) Send(packet []byte, files ...int) error {
+	if len(packet) > maxPacketBytes {
 		return fmt.Errorf("a packet of %d bytes is too large", len(packet))
 	}
-	_ = c.conn.SetWriteDeadline(time.Now().Add(writing))
-	ctx, cancel := context.WithTimeout(context.Background(), retrying)
+	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	ctx, cancel := context.WithTimeout(context.Background(), sendRetryTimeout)
 	defer cancel()
-	return transient.Retry(ctx, transient.Backoff{First: time.Millisecond, Longest: retrying / 4}, transient.OfResources, func() error {
+	return transient.Retry(ctx, transient.Backoff{Initial: time.Millisecond, Max: sendRetryTimeout / 4}, transient.IsResourceShortage, func() error {
 		_, _, err := c.conn.WriteMsgUnix(packet, syscall.UnixRights(files...), nil)
 		return err
 	})
 }
 
 // Receive waits for a packet. The descriptors are the caller's.
-func (c *Channel) Receive() (packet []byte, files []*os.File, err error) {
-	b, side := make([]byte, largest), make([]byte, syscall.CmsgSpace(4*mostFiles))
+func (c *Conn) Receive() (packet []byte, files []*os.File, err error) {
+	b, side := make([]byte, maxPacketBytes), make([]byte, syscall.CmsgSpace(4*maxFilesPerPacket))
 	n, extra, flags, _, err := c.conn.ReadMsgUnix(b, side)
 	if err != nil {
 		return nil, nil, err
@@ -82,33 +82,33 @@
 }
 
 // Close ends the channel; the other side's Receive ends with it.
-func (c *Channel) Close() { _ = c.conn.Close() }
+func (c *Conn) Close() { _ = c.conn.Close() }
 
-// Find leads to the process that runs already.
-func Find(folder string) (*Channel, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), finding)
+// Dial leads to the process that runs already.
+func Dial(folder string) (*Conn, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	var conn net.Conn
-	err := transient.Retry(ctx, transient.Backoff{First: time.Millisecond, Longest: 50 * time.Millisecond}, transient.OfResources, func() (err error) {
-		conn, err = new(net.Dialer).DialContext(ctx, "unixpacket", filepath.Join(folder, name))
+	err := transient.Retry(ctx, transient.Backoff{Initial: time.Millisecond, Max: 50 * time.Millisecond}, transient.IsResourceShortage, func() (err error) {
+		conn, err = new(net.Dialer).DialContext(ctx, "unixpacket", filepath.Join(folder, socketName))
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	return &Channel{conn.(*net.UnixConn)}, nil
+	return &Conn{conn.(*net.UnixConn)}, nil
 }
 
-// Seat is where the next process finds this one.
-type Seat struct {
+// Listener is where the next process finds this one.
+type Listener struct {
 	listener *net.UnixListener
 	path     string
 }
 
-// Take makes this process the one that is found, in the place of whoever was before, and hands over each channel
+// Listen makes this process the one that is found, in the place of whoever was before, and hands over each channel
 // that is opened to it.
-func Take(folder string, log *slog.Logger, heir func(*Channel)) (*Seat, error) {
-	own := filepath.Join(folder, fmt.Sprintf("%s.%d", name, os.Getpid()))
+func Listen(folder string, log *slog.Logger, heir func(*Conn)) (*Listener, error) {
+	own := filepath.Join(folder, fmt.Sprintf("%s.%d", socketName, os.Getpid()))
 	if err := os.Remove(own); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err // what is left of one with this number
 	}
@@ -117,7 +117,7 @@
 		return nil, err
 	}
 	l.SetUnlinkOnClose(false) // by then the name may be the next one's
-	s := &Seat{l, filepath.Join(folder, name)}
+	s := &Listener{l, filepath.Join(folder, socketName)}
 	// At once, as there is no moment without a name.
 	if err := errors.Join(os.Chmod(own, 0o600), os.Rename(own, s.path)); err != nil {
 		_ = l.Close()
@@ -125,25 +125,25 @@
 		return nil, err
 	}
 	go func() {
-		door := listen.Keep(l, log)
+		door := listen.NewListener(l, log)
 		for {
 			conn, err := door.Accept()
 			if err != nil { // it was left or retired
 				_ = l.Close()
 				return
 			}
-			heir(&Channel{conn.(*net.UnixConn)})
+			heir(&Conn{conn.(*net.UnixConn)})
 		}
 	}()
 	return s, nil
 }
 
-// retiring is far more than it takes to accept who has come already.
-const retiring = time.Second
+// closeGracePeriod is far more than it takes to accept who has come already.
+const closeGracePeriod = time.Second
 
-// Retire gives the seat up for another of the same process, and hands over who has found it until then. Guards against a
+// CloseGracefully gives the seat up for another of the same process, and hands over who has found it until then. Guards against a
 // process that comes in the moment of the change: its channel waited unaccepted, and it never was heard.
-func (s *Seat) Retire() { _ = s.listener.SetDeadline(time.Now().Add(retiring)) }
+func (s *Listener) CloseGracefully() { _ = s.listener.SetDeadline(time.Now().Add(closeGracePeriod)) }
 
-// Leave gives the seat up. The name stays, for it may be another's; one at which nobody listens is refused.
-func (s *Seat) Leave() { _ = s.listener.Close() }
+// Close gives the seat up. The name stays, for it may be another's; one at which nobody listens is refused.
+func (s *Listener) Close() { _ = s.listener.Close() }
--- a/internal/succession/succession_test.go
+++ b/internal/succession/succession_test.go
@@ -14,33 +14,33 @@
 	"hatchproxy/internal/succession"
 )
 
-// folder is a short one: a socket's path has 107 bytes at most.
-func folder(t *testing.T) string {
+// shortTempDir is a short one: a socket's path has 107 bytes at most.
+func shortTempDir(t *testing.T) string {
 	at, err := os.MkdirTemp("", "hs")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = os.RemoveAll(at) })
 	return at
 }
 
-func take(t *testing.T, at string) (*succession.Seat, chan *succession.Channel) {
-	heirs := make(chan *succession.Channel, 1)
-	seat, err := succession.Take(at, slog.New(slog.DiscardHandler), func(c *succession.Channel) { heirs <- c })
+func startListener(t *testing.T, at string) (*succession.Listener, chan *succession.Conn) {
+	heirs := make(chan *succession.Conn, 1)
+	seat, err := succession.Listen(at, slog.New(slog.DiscardHandler), func(c *succession.Conn) { heirs <- c })
 	require.NoError(t, err)
-	t.Cleanup(seat.Leave)
+	t.Cleanup(seat.Close)
 	return seat, heirs
 }
 
 // A process found the seat in the moment in which it was changed for another: it was never heard.
 func TestWhoFoundASeatThatIsGivenUpIsHeardAllTheSame(t *testing.T) {
-	at := folder(t)
-	seat, heirs := take(t, at)
+	at := shortTempDir(t)
+	seat, heirs := startListener(t, at)
 	for range 3 { // one is in the channel, one waits for room there, one has not been accepted
-		c, err := succession.Find(at)
+		c, err := succession.Dial(at)
 		require.NoError(t, err)
 		defer c.Close()
 	}
-	_, later := take(t, at)
-	seat.Retire()
+	_, later := startListener(t, at)
+	seat.CloseGracefully()
 	for range 3 {
 		select {
 		case <-heirs:
@@ -48,16 +48,16 @@
 			require.Fail(t, "it was not heard")
 		}
 	}
-	c, err := succession.Find(at)
+	c, err := succession.Dial(at)
 	require.NoError(t, err)
 	defer c.Close()
 	<-later
 }
 
 func TestDescriptorsComeWithTheirPacket(t *testing.T) {
-	at := folder(t)
-	_, heirs := take(t, at)
-	heir, err := succession.Find(at)
+	at := shortTempDir(t)
+	_, heirs := startListener(t, at)
+	heir, err := succession.Dial(at)
 	require.NoError(t, err)
 	old := <-heirs
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,9 +97,9 @@
 }
 
 func TestWhoDoesNotReadIsNotWaitedForLong(t *testing.T) {
-	at := folder(t)
-	_, heirs := take(t, at)
-	_, err := succession.Find(at)
+	at := shortTempDir(t)
+	_, heirs := startListener(t, at)
+	_, err := succession.Dial(at)
 	require.NoError(t, err)
 	old, began := <-heirs, time.Now()
 	packet := bytes.Repeat([]byte("x"), 30<<10)
@@ -110,33 +110,33 @@
 }
 
 func TestNobodyIsFoundWhereNothingOrSomethingElseIs(t *testing.T) {
-	at := folder(t)
-	_, err := succession.Find(at)
+	at := shortTempDir(t)
+	_, err := succession.Dial(at)
 	require.Error(t, err)
 	path := filepath.Join(at, "hatchproxy.sock")
 	require.NoError(t, os.WriteFile(path, []byte("torn"), 0o600))
-	_, err = succession.Find(at)
+	_, err = succession.Dial(at)
 	require.Error(t, err)
-	seat, _ := take(t, at) // a file is replaced
-	seat.Leave()
-	_, err = succession.Find(at)
+	seat, _ := startListener(t, at) // a file is replaced
+	seat.Close()
+	_, err = succession.Dial(at)
 	require.Error(t, err, "what one that died leaves behind is refused")
 	require.NoError(t, os.Remove(path))
 	require.NoError(t, os.MkdirAll(filepath.Join(path, "foreign"), 0o700))
-	_, err = succession.Take(at, slog.New(slog.DiscardHandler), func(*succession.Channel) {})
+	_, err = succession.Listen(at, slog.New(slog.DiscardHandler), func(*succession.Conn) {})
 	require.Error(t, err, "a folder is nobody's to take away")
 	entries, err := os.ReadDir(at)
 	require.NoError(t, err)
 	require.Len(t, entries, 1, "no name of its own stays")
-	_, err = succession.Take(filepath.Join(at, "none"), slog.New(slog.DiscardHandler), func(*succession.Channel) {})
+	_, err = succession.Listen(filepath.Join(at, "none"), slog.New(slog.DiscardHandler), func(*succession.Conn) {})
 	require.Error(t, err)
 }
 
 func TestTheLastToTakeTheSeatIsFound(t *testing.T) {
-	at := folder(t)
-	_, first := take(t, at)
-	_, second := take(t, at)
-	_, err := succession.Find(at)
+	at := shortTempDir(t)
+	_, first := startListener(t, at)
+	_, second := startListener(t, at)
+	_, err := succession.Dial(at)
 	require.NoError(t, err)
 	<-second
 	require.Empty(t, first)
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -26,19 +26,19 @@
 		var faults []error
 		for _, e := range missing.Errors {
 			line, _ := e.Position()
-			faults = append(faults, fmt.Errorf("%s:%d: %s is unknown%s", path, line, strings.Join(e.Key(), "."), meant(e.Key(), reflect.TypeOf(into))))
+			faults = append(faults, fmt.Errorf("%s:%d: %s is unknown%s", path, line, strings.Join(e.Key(), "."), suggest(e.Key(), reflect.TypeOf(into))))
 		}
 		return errors.Join(faults...)
 	case errors.As(err, &wrong):
 		line, _ := wrong.Position()
 		return fmt.Errorf("%s:%d: %s", path, line, strings.TrimPrefix(wrong.Error(), "toml: "))
 	}
-	return fmt.Errorf("%s: %w", at(path, text, err, reflect.TypeOf(into)), err)
+	return fmt.Errorf("%s: %w", locateError(path, text, err, reflect.TypeOf(into)), err)
 }
 
-// at finds the line of an error that the library tells without one, such as a bare number where a time is wanted: the
+// locateError finds the line of an error that the library tells without one, such as a bare number where a time is wanted: the
 // first line up to which the text gives the same error.
-func at(path string, text []byte, err error, into reflect.Type) string {
+func locateError(path string, text []byte, err error, into reflect.Type) string {
 	end := 0
 	for line := 1; end < len(text); line++ {
 		next := bytes.IndexByte(text[end:], '\n')
@@ -46,7 +46,7 @@
 			next = len(text) - end - 1
 		}
 		end += next + 1
-		got := toml.NewDecoder(bytes.NewReader(text[:end])).Decode(reflect.New(inner(into)).Interface())
+		got := toml.NewDecoder(bytes.NewReader(text[:end])).Decode(reflect.New(elementType(into)).Interface())
 		if got != nil && got.Error() == err.Error() {
 			return fmt.Sprintf("%s:%d", path, line)
 		}
@@ -54,15 +54,15 @@
 	return path
 }
 
-// meant finds the name that a key's last part was most likely to be: at most a third of its letters differ.
-func meant(key []string, in reflect.Type) string {
+// suggest finds the name that a key's last part was most likely to be: at most a third of its letters differ.
+func suggest(key []string, in reflect.Type) string {
 	for _, part := range key[:len(key)-1] {
-		if in = inner(in); in.Kind() != reflect.Struct {
+		if in = elementType(in); in.Kind() != reflect.Struct {
 			return ""
 		}
 		found := false
 		for i := range in.NumField() {
-			if strings.EqualFold(name(in.Field(i)), part) {
+			if strings.EqualFold(keyName(in.Field(i)), part) {
 				in, found = in.Field(i).Type, true
 				break
 			}
@@ -71,13 +71,13 @@
 			return ""
 		}
 	}
-	if in = inner(in); in.Kind() != reflect.Struct {
+	if in = elementType(in); in.Kind() != reflect.Struct {
 		return ""
 	}
 	last := strings.ToLower(key[len(key)-1])
 	best, least := "", len(last)/3+1
 	for i := range in.NumField() {
-		if n := name(in.Field(i)); n != "" {
+		if n := keyName(in.Field(i)); n != "" {
 			if d := levenshtein.ComputeDistance(last, n); d < least || d == least && best == "" {
 				best, least = n, d
 			}
@@ -89,15 +89,15 @@
 	return fmt.Sprintf("; is %q meant?", best)
 }
 
-func inner(t reflect.Type) reflect.Type {
+func elementType(t reflect.Type) reflect.Type {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
 	}
 	return t
 }
 
-// name is a field's in the file; "" if it has none.
-func name(f reflect.StructField) string {
+// keyName is a field's in the file; "" if it has none.
+func keyName(f reflect.StructField) string {
 	tag, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
 	if tag == "-" || !f.IsExported() {
 		return ""
@@ -108,14 +108,14 @@
 	return strings.ToLower(f.Name)
 }
 
-// Places finds the line of each key; tables of an array have their number in brackets.
-type Places struct {
+// Positions finds the line of each key; tables of an array have their number in brackets.
+type Positions struct {
 	path  string
 	lines map[string]int
 }
 
-// Find reads where the keys of a text stand.
-func Find(path string, text []byte) Places {
+// FindPositions reads where the keys of a text stand.
+func FindPositions(path string, text []byte) Positions {
 	lines, counts, table := map[string]int{}, map[string]int{}, ""
 	p := unstable.Parser{}
 	p.Reset(text)
@@ -146,11 +146,11 @@
 		}
 		lines[table] = line
 	}
-	return Places{path, lines}
+	return Positions{path, lines}
 }
 
 // At is where a key stands, or the nearest table above it.
-func (p Places) At(key string) string {
+func (p Positions) At(key string) string {
 	for name := key; name != ""; {
 		if line, known := p.lines[name]; known {
 			return fmt.Sprintf("%s:%d", p.path, line)
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// ofResources are the errors by which the kernel says that it is short of something just now.
-var ofResources = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EADDRNOTAVAIL,
+// resourceErrors are the errors by which the kernel says that it is short of something just now.
+var resourceErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EADDRNOTAVAIL,
 	syscall.EAGAIN, syscall.EINTR}
 
-// OfResources tells whether a call failed since this machine was short of a resource. Source: accept(2), socket(2),
+// IsResourceShortage tells whether a call failed since this machine was short of a resource. Source: accept(2), socket(2),
 // connect(2), epoll_ctl(2), fcntl(2).
-func OfResources(err error) bool { return isAny(err, ofResources) }
+func IsResourceShortage(err error) bool { return matchesAny(err, resourceErrors) }
 
-// ofFiles are those with which reading a file fails for a moment.
-var ofFiles = []error{syscall.EIO, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EAGAIN, syscall.ESTALE}
+// fileErrors are those with which reading a file fails for a moment.
+var fileErrors = []error{syscall.EIO, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EAGAIN, syscall.ESTALE}
 
-// OfFiles tells whether a file could not be read for a reason that is not the file's own. Source: open(2), read(2).
-func OfFiles(err error) bool { return isAny(err, ofFiles) }
+// IsFileReadError tells whether a file could not be read for a reason that is not the file's own. Source: open(2), read(2).
+func IsFileReadError(err error) bool { return matchesAny(err, fileErrors) }
 
-func isAny(err error, known []error) bool {
+func matchesAny(err error, known []error) bool {
 	for _, errno := range known {
 		if errors.Is(err, errno) {
 			return true
@@ -43,14 +43,14 @@
 // Backoff is the wait between retries: First, then twice as long each time, Longest at most. The zero value of its other
 // fields is a backoff at its start.
 type Backoff struct {
-	First, Longest time.Duration
-	next           time.Duration
+	Initial, Max time.Duration
+	current      time.Duration
 }
 
 // Wait waits for the next retry. It returns the context's error where that ends first.
 func (b *Backoff) Wait(ctx context.Context) error {
-	b.next = min(max(2*b.next, b.First), b.Longest)
-	timer := time.NewTimer(b.next)
+	b.current = min(max(2*b.current, b.Initial), b.Max)
+	timer := time.NewTimer(b.current)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -61,7 +61,7 @@
 }
 
 // Reset puts a backoff back to its start.
-func (b *Backoff) Reset() { b.next = 0 }
+func (b *Backoff) Reset() { b.current = 0 }
 
 // Retry makes a call again while it fails with an error that passes, until the context ends; it returns the call's own
 // last error.
@@ -74,14 +74,14 @@
 	}
 }
 
-// reading is how long a file is tried to be read: what a new configuration names counts some seconds after the signal.
-const reading = 3 * time.Second
+// readTimeout is how long a file is tried to be read: what a new configuration names counts some seconds after the signal.
+const readTimeout = 3 * time.Second
 
 // ReadFile reads a file, again for some seconds while that fails for a reason that passes. Source: OfFiles.
 func ReadFile(path string) (text []byte, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), reading)
+	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
-	err = Retry(ctx, Backoff{First: 2 * time.Millisecond, Longest: 100 * time.Millisecond}, OfFiles, func() error {
+	err = Retry(ctx, Backoff{Initial: 2 * time.Millisecond, Max: 100 * time.Millisecond}, IsFileReadError, func() error {
 		text, err = os.ReadFile(path)
 		return err
 	})
--- a/internal/wire/reply_test.go
+++ b/internal/wire/reply_test.go
@@ -11,13 +11,13 @@
 func TestActionsStandAsTheWireLaysThemOut(t *testing.T) {
 	r := &Reply{}
 	r.reset()
-	r.Speak(3)
+	r.SelectInstance(3)
 	r.Send(0x000a33525d3a91c4, 0x03124a07, 80000)
 	r.Publish(0xffff, []byte("hi 7"))
-	r.Retract(0x000a33525d3a91c4, 2)
+	r.CancelDispatch(0x000a33525d3a91c4, 2)
 	r.Probe(0x03124a07)
-	r.ShutIdle(0x03124a07)
-	r.AskList()
+	r.CloseIdle(0x03124a07)
+	r.RequestList()
 	r.Log("two")
 	reply := r.finish(12)
 	want := []string{
@@ -31,7 +31,7 @@
 		"4c0000000400000003",
 	}
 	for i, record := range want {
-		at := reply[replyHeader+i*actionSize:]
+		at := reply[replyHeaderSize+i*actionSize:]
 		require.Equal(t, record, hex.EncodeToString(at[:len(record)/2]), "record %d", i)
 	}
 	require.Equal(t, "hi 7two", string(reply[len(reply)-7:]))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -37,7 +37,7 @@
 	return append(b, tail...)
 }
 
-func rec(code byte, fields ...any) []byte {
+func newRecord(code byte, fields ...any) []byte {
 	b := bytes.NewBuffer([]byte{code})
 	for _, f := range fields {
 		_ = binary.Write(b, binary.BigEndian, f) // a buffer takes all
@@ -45,19 +45,19 @@
 	return b.Bytes()
 }
 
-// entry is one ready server of the list.
-func entry(id uint32) string {
-	return string(rec(0, id, uint16(0), uint16(0), uint16(0), byte(2), float32(1), float64(0))[1:])
+// listEntry is one ready server of the list.
+func listEntry(id uint32) string {
+	return string(newRecord(0, id, uint16(0), uint16(0), uint16(0), byte(2), float32(1), float64(0))[1:])
 }
 
-// start opens instance 4 with two servers and lets one attachment arrive there.
-func start() []byte {
-	tail := opening + entry(8) + entry(9)
+// startBatch opens instance 4 with two servers and lets one attachment arrive there.
+func startBatch() []byte {
+	tail := opening + listEntry(8) + listEntry(9)
 	at := uint32(len(opening))
-	return frame(1, 1000, tail, rec(1, uint32(4)),
-		rec(11, uint64(7), uint32(0), at),
-		rec(6, byte(1), uint32(0), at, uint32(2)),
-		rec(13, uint64(77), byte(0), float64(2000)))
+	return frame(1, 1000, tail, newRecord(1, uint32(4)),
+		newRecord(11, uint64(7), uint32(0), at),
+		newRecord(6, byte(1), uint32(0), at, uint32(2)),
+		newRecord(13, uint64(77), byte(0), float64(2000)))
 }
 
 func serve(in []byte) ([]byte, error) {
@@ -66,8 +66,8 @@
 	return out.Bytes(), err
 }
 
-// actions lists the codes of the first reply.
-func actions(reply []byte) []byte {
+// actionCodes lists the codes of the first reply.
+func actionCodes(reply []byte) []byte {
 	var codes []byte
 	for i := range binary.BigEndian.Uint32(reply[4:]) {
 		codes = append(codes, reply[12+24*i])
@@ -76,10 +76,10 @@
 }
 
 func TestAnArrivalIsHandedOff(t *testing.T) {
-	out, err := serve(start())
+	out, err := serve(startBatch())
 	require.NoError(t, err)
 	require.Equal(t, uint32(len(out)), binary.BigEndian.Uint32(out))
-	require.Equal(t, []byte{65, 71, 69}, actions(out), "speaking, hand_off, schedule")
+	require.Equal(t, []byte{65, 71, 69}, actionCodes(out), "speaking, hand_off, schedule")
 	require.Equal(t, uint64(77), binary.BigEndian.Uint64(out[12+24+1:]))
 	require.Contains(t, []uint32{8, 9}, binary.BigEndian.Uint32(out[12+24+17:]))
 }
@@ -91,28 +91,28 @@
 }
 
 func TestAnInstanceMayDieAndOpenInOneBatch(t *testing.T) {
-	again := frame(2, 1002, opening, rec(1, uint32(4)), rec(8), rec(11, uint64(8), uint32(0), uint32(len(opening))),
-		rec(3, uint64(77), byte(0), byte(0), uint32(8), uint16(1)))
-	_, err := serve(append(start(), again...))
+	again := frame(2, 1002, opening, newRecord(1, uint32(4)), newRecord(8), newRecord(11, uint64(8), uint32(0), uint32(len(opening))),
+		newRecord(3, uint64(77), byte(0), byte(0), uint32(8), uint16(1)))
+	_, err := serve(append(startBatch(), again...))
 	require.NoError(t, err, "what is told of a dropped attachment is ignored")
 }
 
 func TestGarbageIsRefusedInPlainWords(t *testing.T) {
-	whole := start()
-	badOutcome := frame(2, 1002, "", rec(1, uint32(4)),
-		rec(3, uint64(77), byte(0), byte(0), uint32(8), uint16(99)))
+	whole := startBatch()
+	badOutcome := frame(2, 1002, "", newRecord(1, uint32(4)),
+		newRecord(3, uint64(77), byte(0), byte(0), uint32(8), uint16(99)))
 	for name, in := range map[string][]byte{
 		"ends within a header":         whole[:7],
 		"ends within a frame":          whole[:len(whole)-3],
 		"cannot hold":                  frame(1, 1, "")[:8],
-		"which is not open":            frame(1, 1, "", rec(1, uint32(4)), rec(5)),
-		"event code 99 is unknown":     append(whole, frame(2, 1, "", rec(1, uint32(4)), rec(99))...),
-		"past the tail":                frame(1, 1, "", rec(1, uint32(4)), rec(11, uint64(1), uint32(9), uint32(9))),
+		"which is not open":            frame(1, 1, "", newRecord(1, uint32(4)), newRecord(5)),
+		"event code 99 is unknown":     append(whole, frame(2, 1, "", newRecord(1, uint32(4)), newRecord(99))...),
+		"past the tail":                frame(1, 1, "", newRecord(1, uint32(4)), newRecord(11, uint64(1), uint32(9), uint32(9))),
 		"the clock reads":              frame(1, math.NaN(), ""),
-		"outcome 99 is unknown":        append(start(), badOutcome...),
-		"before one was selected":      frame(1, 1, "", rec(11, uint64(1), uint32(0), uint32(0))),
-		"product 3 is unknown":         append(start(), frame(2, 1, "", rec(1, uint32(4)), rec(13, uint64(1), byte(3)))...),
-		"products.count: strconv.Pars": frame(1, 1, "products.count=x", rec(1, uint32(4)), rec(11, uint64(1), uint32(0), uint32(16))),
+		"outcome 99 is unknown":        append(startBatch(), badOutcome...),
+		"before one was selected":      frame(1, 1, "", newRecord(11, uint64(1), uint32(0), uint32(0))),
+		"product 3 is unknown":         append(startBatch(), frame(2, 1, "", newRecord(1, uint32(4)), newRecord(13, uint64(1), byte(3)))...),
+		"products.count: strconv.Pars": frame(1, 1, "products.count=x", newRecord(1, uint32(4)), newRecord(11, uint64(1), uint32(0), uint32(16))),
 	} {
 		if name == "cannot hold" {
 			in = append([]byte{0, 0, 0, 9, 0, 0, 0, 20}, make([]byte, 12)...)
@@ -125,18 +125,18 @@
 // The report that comes with a probe's answer reaches the decisions: the emptier of two is sent to.
 func TestReportsOfProbesArePassedOn(t *testing.T) {
 	conf := opening + "limits.probes=true\nreport.how=on_probe\nreport.fields=rif,x0\n"
-	tail := conf + entry(7) + entry(8) + entry(9)
+	tail := conf + listEntry(7) + listEntry(8) + listEntry(9)
 	at := uint32(len(conf))
-	in := frame(1, 1000, tail, rec(1, uint32(4)), rec(11, uint64(7), uint32(0), at), rec(6, byte(1), uint32(0), at, uint32(3)))
+	in := frame(1, 1000, tail, newRecord(1, uint32(4)), newRecord(11, uint64(7), uint32(0), at), newRecord(6, byte(1), uint32(0), at, uint32(3)))
 	batch := uint32(2)
 	for ; batch < 30; batch++ {
-		events := [][]byte{rec(1, uint32(4))}
+		events := [][]byte{newRecord(1, uint32(4))}
 		for id, fill := range map[uint32]float32{7: 9, 8: 0.2, 9: 9} {
-			events = append(events, rec(12, id, uint16(1), float64(1), byte(2), float32(5), fill))
+			events = append(events, newRecord(12, id, uint16(1), float64(1), byte(2), float32(5), fill))
 		}
 		in = append(in, frame(batch, 1000+float64(batch)*250, "", events...)...)
 	}
-	in = append(in, frame(batch, 9000, "", rec(1, uint32(4)), rec(13, uint64(100), byte(0), float64(2000)))...)
+	in = append(in, frame(batch, 9000, "", newRecord(1, uint32(4)), newRecord(13, uint64(100), byte(0), float64(2000)))...)
 	out, err := serve(in)
 	require.NoError(t, err)
 	sent := map[uint32]int{}
--- a/lab/chaos/record.go
+++ b/lab/chaos/record.go
@@ -62,7 +62,7 @@
 			continue
 		}
 		for _, i := range m.Instances(a) {
-			c := control.Dial(i.Control)
+			c := control.NewClient(i.Control)
 			each(looking, func() {
 				if h, err := rec.held(ctx, c, a, i.Name); err == nil {
 					rec.note(func(r *Record) { r.Held = append(r.Held, h) })
@@ -163,7 +163,7 @@
 	err = until(ctx, time.Until(end), func() bool {
 		for a := range m.names {
 			for _, i := range m.keeps(a) {
-				c := control.Dial(i.Control)
+				c := control.NewClient(i.Control)
 				h, err := rec.held(ctx, c, a, i.Name)
 				c.Close()
 				if err != nil || h.Orders[server].Number < number {
@@ -238,9 +238,9 @@
 	if err != nil {
 		return h, err
 	}
-	h.Process, h.Term = st.Started, st.Term
+	h.Process, h.Term = st.StartedMicros, st.Term
 	for _, o := range st.Orders {
-		h.Orders[o.Server] = Told{o.Number, o.ID}
+		h.Orders[o.ServerUID] = Told{o.Number, o.ID}
 	}
 	return h, nil
 }
--- a/lab/experiment/file.go
+++ b/lab/experiment/file.go
@@ -110,7 +110,7 @@
 	}
 	Expect map[string]string
 
-	places tomlfile.Places
+	places tomlfile.Positions
 	trace  []load.Arrival
 }
 
@@ -156,7 +156,7 @@
 	if err := tomlfile.Decode(path, text, f); err != nil {
 		return nil, err
 	}
-	f.places = tomlfile.Find(path, text)
+	f.places = tomlfile.FindPositions(path, text)
 	if faults := f.check(); len(faults) > 0 {
 		return nil, errors.Join(faults...)
 	}
--- a/lab/world/duties_test.go
+++ b/lab/world/duties_test.go
@@ -27,7 +27,7 @@
 	leads   bool // as it believes
 	term    int
 	applied map[string]lease.Grant
-	lease   *lease.Giver
+	lease   *lease.Grantor
 	stalled logic.Micros
 	numbers uint64
 }
@@ -79,7 +79,7 @@
 	}
 	f.election()
 	for h := range f.holders {
-		f.After(f.upTo(lease.Asking), func() { f.ask(h) })
+		f.After(f.upTo(lease.RenewInterval), func() { f.ask(h) })
 		f.After(f.upTo(logic.Second), func() { f.act(h) })
 	}
 	for g := range f.givers {
@@ -116,12 +116,12 @@
 		if !f.noBarrier {
 			g.applied = maps.Clone(f.log.held)
 		}
-		g.leads, g.term, g.lease = true, term, lease.NewGiver()
+		g.leads, g.term, g.lease = true, term, lease.NewGrantor()
 		if f.noWait {
-			now := g.clock.Now() - lease.Kept
-			g.lease.Ask(now-lease.Asking, lease.Question{Holder: "nobody", Wants: f.duties}, nil, nil)
-			for duty := range g.lease.Due(now, g.applied, nil) {
-				g.lease.Over(duty)
+			now := g.clock.Now() - lease.GrantorDuration
+			g.lease.Renew(now-lease.RenewInterval, lease.Request{Holder: "nobody", Duties: f.duties}, nil, nil)
+			for duty := range g.lease.DueGrants(now, g.applied, nil) {
+				g.lease.FinishGrant(duty)
 			}
 		}
 	})
@@ -134,9 +134,9 @@
 		f.After(x.stalled-f.Now(), func() { f.ask(h) })
 		return
 	}
-	f.After(lease.Asking, func() { f.ask(h) })
+	f.After(lease.RenewInterval, func() { f.ask(h) })
 	sent := x.clock.Now()
-	q := lease.Question{Holder: fmt.Sprint("h", h), Wants: f.duties}
+	q := lease.Request{Holder: fmt.Sprint("h", h), Duties: f.duties}
 	for n, g := range f.givers {
 		if !g.leads {
 			continue
@@ -145,7 +145,7 @@
 	}
 }
 
-func (f *fleet) heard(h, n int, sent logic.Micros, q lease.Question) {
+func (f *fleet) heard(h, n int, sent logic.Micros, q lease.Request) {
 	g, x := f.givers[n], f.holders[h]
 	if g.stalled > f.Now() {
 		f.After(g.stalled-f.Now(), func() { f.heard(h, n, sent, q) })
@@ -155,13 +155,13 @@
 		if !g.leads || g.lease == nil {
 			return
 		}
-		p := g.lease.Ask(g.clock.Now(), q, g.applied, nil)
+		p := g.lease.Renew(g.clock.Now(), q, g.applied, nil)
 		f.Send(n, 100+h, func() {
 			f.After(max(0, x.stalled-f.Now()), func() {
 				if f.fromAnswer {
 					sent = x.clock.Now()
 				}
-				x.lease.Hear(sent, p)
+				x.lease.Update(sent, p)
 			})
 		})
 	}
@@ -183,9 +183,9 @@
 		return
 	}
 	by, term := g.lease, g.term
-	for duty, x := range by.Due(g.clock.Now(), g.applied, nil) {
+	for duty, x := range by.DueGrants(g.clock.Now(), g.applied, nil) {
 		f.After(agree, func() {
-			by.Over(duty)
+			by.FinishGrant(duty)
 			if f.leader != n || !f.noTerm && f.term != term || f.log.held[duty].Token != x.Token {
 				return // most agents are with another, or with another grant
 			}
--- a/lease/explore_test.go
+++ b/lease/explore_test.go
@@ -14,54 +14,54 @@
 )
 
 // leftOut is a safeguard that is not there.
-type leftOut struct{ round, wait, term, fence, sent, drift bool }
+type leftOut struct{ leaderCheck, initialWait, termCheck, fencing, sendTime, driftBound bool }
 
-// small is two agents that may lead, two holders and one duty, in one state. Times are true ones; each clock has its own rate.
-type small struct {
-	now     logic.Micros
-	leader  int
-	term    int
-	held    Grant // the log's
-	number  uint64
-	givers  [2]agent
-	holders [2]Holder
-	message *message  // held up on its way
-	effects [2]uint64 // by holder: the token of one that is held up between look and act; 0 for none
-	highest uint64
+// modelState is two agents that may lead, two holders and one duty, in one state. Times are true ones; each clock has its own rate.
+type modelState struct {
+	now          logic.Micros
+	leader       int
+	term         int
+	committed    Grant // the log's
+	lastToken    uint64
+	agents       [2]agent
+	holders      [2]Holder
+	message      *message  // held up on its way
+	inFlight     [2]uint64 // by holder: the token of one that is held up between look and act; 0 for none
+	highestToken uint64
 }
 
 type agent struct {
-	leads   bool
-	term    int
-	lease   *Giver
-	applied Grant
-	made    *Grant // a grant that is not agreed on yet
-	madeIn  int
+	leading      bool
+	term         int
+	grantor      *Grantor
+	applied      Grant
+	proposed     *Grant // a grant that is not agreed on yet
+	proposedTerm int
 }
 
 // message is a question with its answer, at a stage: sent, after the round, answered.
 type message struct {
-	holder, giver, stage int
+	holder, agent, stage int
 	sent                 logic.Micros
-	promises             Promises
+	tokens               Tokens
 }
 
 const duty = "d"
 
-func (s small) copy() small {
-	for i := range s.givers {
-		if g := s.givers[i].lease; g != nil {
-			s.givers[i].lease = &Giver{maps.Clone(g.ends), maps.Clone(g.given), maps.Clone(g.giving), maps.Clone(g.asked), maps.Clone(g.silent), g.first}
+func (s modelState) clone() modelState {
+	for i := range s.agents {
+		if g := s.agents[i].grantor; g != nil {
+			s.agents[i].grantor = &Grantor{maps.Clone(g.expiresAt), maps.Clone(g.released), maps.Clone(g.pending), maps.Clone(g.candidates), maps.Clone(g.lostAt), g.firstRequest}
 		}
 	}
 	for i := range s.holders {
 		h := s.holders[i]
-		s.holders[i] = Holder{maps.Clone(h.tokens), maps.Clone(h.until), h.asked}
+		s.holders[i] = Holder{maps.Clone(h.tokens), maps.Clone(h.expiresAt), h.lastSent}
 	}
 	return s
 }
 
-func (s small) key() string {
+func (s modelState) encode() string {
 	b := make([]byte, 0, 256)
 	put := func(all ...int64) {
 		for _, x := range all {
@@ -75,175 +75,175 @@
 		return 0
 	}
 	grant := func(g Grant) { b = append(b, g.Holder...); put(int64(g.Token)) }
-	put(int64(s.now), int64(s.leader), int64(s.term), int64(s.number), int64(s.highest))
-	grant(s.held)
+	put(int64(s.now), int64(s.leader), int64(s.term), int64(s.lastToken), int64(s.highestToken))
+	grant(s.committed)
 	for _, h := range s.holders {
-		put(int64(h.tokens[duty]), int64(h.until[duty]), int64(h.asked))
+		put(int64(h.tokens[duty]), int64(h.expiresAt[duty]), int64(h.lastSent))
 	}
-	for _, g := range s.givers {
-		put(flag(g.leads), int64(g.term), int64(g.madeIn), flag(g.made != nil), flag(g.lease != nil))
+	for _, g := range s.agents {
+		put(flag(g.leading), int64(g.term), int64(g.proposedTerm), flag(g.proposed != nil), flag(g.grantor != nil))
 		grant(g.applied)
-		if g.made != nil {
-			grant(*g.made)
+		if g.proposed != nil {
+			grant(*g.proposed)
 		}
-		if l := g.lease; l != nil {
-			for token := range s.number {
-				end, known := l.ends[token+1]
-				put(flag(known), int64(end), flag(l.given[token+1]))
+		if l := g.grantor; l != nil {
+			for token := range s.lastToken {
+				end, known := l.expiresAt[token+1]
+				put(flag(known), int64(end), flag(l.released[token+1]))
 			}
-			token, underWay := l.giving[duty]
-			put(flag(underWay), int64(token), int64(l.first))
+			token, underWay := l.pending[duty]
+			put(flag(underWay), int64(token), int64(l.firstRequest))
 			for _, h := range []string{"h0", "h1"} {
-				put(int64(l.asked[h].at), flag(l.asked[h].wants != nil), int64(l.silent[h]))
+				put(int64(l.candidates[h].lastRequest), flag(l.candidates[h].duties != nil), int64(l.lostAt[h]))
 			}
 		}
 	}
 	put(flag(s.message != nil))
 	if m := s.message; m != nil {
-		put(int64(m.holder), int64(m.giver), int64(m.stage), int64(m.sent), int64(m.promises[duty]))
+		put(int64(m.holder), int64(m.agent), int64(m.stage), int64(m.sent), int64(m.tokens[duty]))
 	}
-	put(int64(s.effects[0]), int64(s.effects[1]))
+	put(int64(s.inFlight[0]), int64(s.inFlight[1]))
 	return string(b)
 }
 
 // The slow holder has the duty at first, and its clocks are as far off as is promised, or further.
-func (l leftOut) holderNow(s small, i int) logic.Micros {
+func (l leftOut) holderClock(s modelState, i int) logic.Micros {
 	rate := [2]float64{0.95, 1.05}[i]
-	if l.drift {
+	if l.driftBound {
 		rate = [2]float64{0.6, 1}[i]
 	}
 	return logic.Micros(float64(s.now) * rate)
 }
 
-func giverNow(s small, i int) logic.Micros {
+func grantorClock(s modelState, i int) logic.Micros {
 	return logic.Micros(float64(s.now) * [2]float64{0.95, 1.05}[i])
 }
 
-func (l leftOut) begin() small {
-	s := small{now: 100 * logic.Second, number: 1, held: Grant{Holder: "h0", Token: 1}, term: 1}
-	s.givers[0] = agent{leads: true, term: 1, lease: NewGiver(), applied: s.held}
+func (l leftOut) initial() modelState {
+	s := modelState{now: 100 * logic.Second, lastToken: 1, committed: Grant{Holder: "h0", Token: 1}, term: 1}
+	s.agents[0] = agent{leading: true, term: 1, grantor: NewGrantor(), applied: s.committed}
 	for i := range s.holders {
-		s = l.ask(s, i, 0)
+		s = l.renew(s, i, 0)
 	}
 	return s
 }
 
-func (l leftOut) ask(s small, i, g int) small {
-	m := message{holder: i, giver: g, sent: l.holderNow(s, i)}
+func (l leftOut) renew(s modelState, i, g int) modelState {
+	m := message{holder: i, agent: g, sent: l.holderClock(s, i)}
 	for m.stage < 3 {
 		var on bool
-		if s, m, on = l.stage(s, m); !on {
+		if s, m, on = l.advance(s, m); !on {
 			break
 		}
 	}
 	return s
 }
 
-// stage takes a message one stage on; false if it ends there.
-func (l leftOut) stage(s small, m message) (small, message, bool) {
-	g := &s.givers[m.giver]
+// advance takes a message one stage on; false if it ends there.
+func (l leftOut) advance(s modelState, m message) (modelState, message, bool) {
+	g := &s.agents[m.agent]
 	switch m.stage {
 	case 0:
-		if !l.round && (s.leader != m.giver || s.term != g.term) {
+		if !l.leaderCheck && (s.leader != m.agent || s.term != g.term) {
 			return s, m, false
 		}
 	case 1:
-		if !g.leads || g.lease == nil {
+		if !g.leading || g.grantor == nil {
 			return s, m, false
 		}
 		held := map[string]Grant{}
 		if g.applied.Token != 0 {
 			held[duty] = g.applied
 		}
-		m.promises = g.lease.Ask(giverNow(s, m.giver), Question{Holder: fmt.Sprint("h", m.holder), Wants: []string{duty}}, held, nil)
+		m.tokens = g.grantor.Renew(grantorClock(s, m.agent), Request{Holder: fmt.Sprint("h", m.holder), Duties: []string{duty}}, held, nil)
 	case 2:
-		if l.sent {
-			m.sent = l.holderNow(s, m.holder)
+		if l.sendTime {
+			m.sent = l.holderClock(s, m.holder)
 		}
-		s.holders[m.holder].Hear(m.sent, m.promises)
+		s.holders[m.holder].Update(m.sent, m.tokens)
 	}
 	m.stage++
 	return s, m, true
 }
 
-func (l leftOut) elect(s small) small {
+func (l leftOut) elect(s modelState) modelState {
 	s.leader, s.term = 1-s.leader, s.term+1
-	g := &s.givers[s.leader]
-	*g = agent{leads: true, term: s.term, lease: NewGiver(), applied: s.held, made: g.made, madeIn: g.madeIn}
-	if l.wait {
-		g.lease.ends[s.held.Token] = giverNow(s, s.leader)
+	g := &s.agents[s.leader]
+	*g = agent{leading: true, term: s.term, grantor: NewGrantor(), applied: s.committed, proposed: g.proposed, proposedTerm: g.proposedTerm}
+	if l.initialWait {
+		g.grantor.expiresAt[s.committed.Token] = grantorClock(s, s.leader)
 	}
 	return s
 }
 
-func (l leftOut) due(s small, n int) (small, bool) {
-	g := &s.givers[n]
-	if !g.leads || g.lease == nil || g.made != nil {
+func (l leftOut) propose(s modelState, n int) (modelState, bool) {
+	g := &s.agents[n]
+	if !g.leading || g.grantor == nil || g.proposed != nil {
 		return s, false
 	}
-	x, found := g.lease.Due(giverNow(s, n), map[string]Grant{duty: g.applied}, nil)[duty]
+	x, found := g.grantor.DueGrants(grantorClock(s, n), map[string]Grant{duty: g.applied}, nil)[duty]
 	if found {
-		g.made, g.madeIn = &x, g.term
+		g.proposed, g.proposedTerm = &x, g.term
 	}
 	return s, found
 }
 
-func (l leftOut) agree(s small, n int) small {
-	g := &s.givers[n]
-	x := *g.made
-	g.made = nil
-	if s.leader == n && (l.term || s.term == g.madeIn) && x.Token == s.held.Token {
-		s.number++
-		s.held = Grant{Holder: x.Holder, Token: s.number}
-		g.applied = s.held
+func (l leftOut) commit(s modelState, n int) modelState {
+	g := &s.agents[n]
+	x := *g.proposed
+	g.proposed = nil
+	if s.leader == n && (l.termCheck || s.term == g.proposedTerm) && x.Token == s.committed.Token {
+		s.lastToken++
+		s.committed = Grant{Holder: x.Holder, Token: s.lastToken}
+		g.applied = s.committed
 	}
-	if g.lease != nil {
-		g.lease.Over(duty)
+	if g.grantor != nil {
+		g.grantor.FinishGrant(duty)
 	}
 	return s
 }
 
-// next are all states that can follow.
-func (l leftOut) next(s small) (all []small) {
-	add := func(x small) { all = append(all, x) }
+// successors are all states that can follow.
+func (l leftOut) successors(s modelState) (all []modelState) {
+	add := func(x modelState) { all = append(all, x) }
 	if s.now < 104*logic.Second {
-		x := s.copy()
+		x := s.clone()
 		x.now += 1200 * logic.Millisecond // two of these outlast a promise, for each clock
 		add(x)
 	}
 	if s.term < 4 {
-		add(l.elect(s.copy()))
+		add(l.elect(s.clone()))
 	}
 	for n := range 2 {
-		if g := s.givers[n]; g.leads && g.term < s.term {
-			x := s.copy()
-			x.givers[n].leads, x.givers[n].lease = false, nil
+		if g := s.agents[n]; g.leading && g.term < s.term {
+			x := s.clone()
+			x.agents[n].leading, x.agents[n].grantor = false, nil
 			add(x)
 		}
-		if x, found := l.due(s.copy(), n); found {
+		if x, found := l.propose(s.clone(), n); found {
 			add(x)
-			add(l.agree(x.copy(), n))
+			add(l.commit(x.clone(), n))
 		}
-		if s.givers[n].made != nil {
-			add(l.agree(s.copy(), n))
+		if s.agents[n].proposed != nil {
+			add(l.commit(s.clone(), n))
 		}
 		for i := range 2 {
-			if !s.givers[n].leads {
+			if !s.agents[n].leading {
 				continue
 			}
-			add(l.ask(s.copy(), i, n))
+			add(l.renew(s.clone(), i, n))
 			if s.message == nil {
-				x := s.copy()
-				x.message = &message{holder: i, giver: n, sent: l.holderNow(s, i)}
+				x := s.clone()
+				x.message = &message{holder: i, agent: n, sent: l.holderClock(s, i)}
 				add(x)
 			}
 		}
 	}
 	if s.message != nil {
-		x := s.copy()
+		x := s.clone()
 		m := *s.message
 		x.message = nil
-		if y, m, on := l.stage(x, m); on && m.stage < 3 {
+		if y, m, on := l.advance(x, m); on && m.stage < 3 {
 			y.message = &m
 			add(y)
 		} else {
@@ -251,19 +251,19 @@
 		}
 	}
 	for i := range 2 {
-		if token, holds := s.holders[i].Holds(l.holderNow(s, i), duty); holds && s.effects[i] == 0 {
-			x := s.copy()
-			x.effects[i] = token
+		if token, holds := s.holders[i].Holds(l.holderClock(s, i), duty); holds && s.inFlight[i] == 0 {
+			x := s.clone()
+			x.inFlight[i] = token
 			add(x)
 		}
-		if token := s.effects[i]; token != 0 {
-			x := s.copy()
-			x.effects[i] = 0
-			if l.fence || token == s.held.Token {
-				if token < s.highest {
-					x.highest = broken
+		if token := s.inFlight[i]; token != 0 {
+			x := s.clone()
+			x.inFlight[i] = 0
+			if l.fencing || token == s.committed.Token {
+				if token < s.highestToken {
+					x.highestToken = tokenDecreased
 				} else {
-					x.highest = token
+					x.highestToken = token
 				}
 			}
 			add(x)
@@ -272,28 +272,28 @@
 	return all
 }
 
-const broken = 1 << 40
+const tokenDecreased = 1 << 40
 
 // explore visits all states by depth, until one is broken or there are enough; it tells how many and how deep.
 func (l leftOut) explore(most int) (fault string, states, depth int) {
 	seen := map[string]bool{}
-	level := []small{l.begin()}
+	level := []modelState{l.initial()}
 	for depth = 0; len(level) > 0; depth++ {
-		var following []small
+		var following []modelState
 		for _, s := range level {
-			_, one := s.holders[0].Holds(l.holderNow(s, 0), duty)
-			_, two := s.holders[1].Holds(l.holderNow(s, 1), duty)
+			_, one := s.holders[0].Holds(l.holderClock(s, 0), duty)
+			_, two := s.holders[1].Holds(l.holderClock(s, 1), duty)
 			switch {
 			case one && two:
 				return "two can act", len(seen), depth
-			case s.highest == broken:
+			case s.highestToken == tokenDecreased:
 				return "a lower token after a higher", len(seen), depth
 			}
 			if len(seen) >= most {
 				return "", len(seen), depth
 			}
-			for _, x := range l.next(s) {
-				if k := x.key(); !seen[k] {
+			for _, x := range l.successors(s) {
+				if k := x.encode(); !seen[k] {
 					seen[k] = true
 					following = append(following, x)
 				}
@@ -319,8 +319,8 @@
 	for name, x := range map[string]struct {
 		leftOut
 		deep bool // it takes half a minute
-	}{"wait": {leftOut{wait: true}, false}, "drift": {leftOut{drift: true}, false}, "round": {leftOut{round: true}, true}, "fence": {leftOut{fence: true}, true},
-		"sent": {leftOut{sent: true}, true}, "term": {leftOut{term: true}, true}} {
+	}{"wait": {leftOut{initialWait: true}, false}, "drift": {leftOut{driftBound: true}, false}, "round": {leftOut{leaderCheck: true}, true}, "fence": {leftOut{fencing: true}, true},
+		"sent": {leftOut{sendTime: true}, true}, "term": {leftOut{termCheck: true}, true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			if x.deep && !long {
@@ -334,39 +334,41 @@
 }
 
 func TestADutyIsHandedToWhoIsThereAndNotToWhoJustFellSilent(t *testing.T) {
-	g, s := NewGiver(), logic.Second
+	g, s := NewGrantor(), logic.Second
 	held := map[string]Grant{duty: {Holder: "a", Token: 7}}
-	ask := func(now logic.Micros, who string) Promises {
-		return g.Ask(now, Question{Holder: who, Wants: []string{duty}}, held, map[string]bool{"barred": true})
+	ask := func(now logic.Micros, who string) Tokens {
+		return g.Renew(now, Request{Holder: who, Duties: []string{duty}}, held, map[string]bool{"barred": true})
 	}
-	require.Equal(t, Promises{duty: 7}, ask(0, "a"))
+	require.Equal(t, Tokens{duty: 7}, ask(0, "a"))
 	ask(0, "b")
 	ask(0, "barred")
-	require.Empty(t, g.Due(Kept-1, held, nil), "it may still be acted on")
-	ask(Kept, "b")
-	ask(Kept, "a")
-	ask(Kept, "barred")
-	due := func(now logic.Micros) map[string]Grant { return g.Due(now, held, map[string]bool{"barred": true}) }
-	require.Empty(t, due(Kept), "it asked again in time")
-	ask(2*Kept, "b")
-	got := due(2 * Kept)
-	require.Equal(t, Grant{Holder: "b", Token: 7, Why: "its holder fell silent"}, got[duty])
-	require.Empty(t, ask(2*Kept, "a"), "a grant to another is under way")
-	require.Empty(t, due(2*Kept+s), "one is under way")
-	g.Over(duty)
-	held[duty] = Grant{Holder: "b", Token: 8, To: "*"}
-	require.Empty(t, ask(2*Kept, "b"), "it is to be handed on")
-	g.Ask(2*Kept, Question{Holder: "b", Wants: []string{duty}, Gives: map[string]uint64{duty: 8}}, held, nil)
-	ask(2*Kept, "c")
-	require.Equal(t, "c", due(2 * Kept)[duty].Holder, "at once, and not to a, which has just fallen silent")
+	require.Empty(t, g.DueGrants(GrantorDuration-1, held, nil), "it may still be acted on")
+	ask(GrantorDuration, "b")
+	ask(GrantorDuration, "a")
+	ask(GrantorDuration, "barred")
+	due := func(now logic.Micros) map[string]Grant {
+		return g.DueGrants(now, held, map[string]bool{"barred": true})
+	}
+	require.Empty(t, due(GrantorDuration), "it asked again in time")
+	ask(2*GrantorDuration, "b")
+	got := due(2 * GrantorDuration)
+	require.Equal(t, Grant{Holder: "b", Token: 7, Reason: "its holder fell silent"}, got[duty])
+	require.Empty(t, ask(2*GrantorDuration, "a"), "a grant to another is under way")
+	require.Empty(t, due(2*GrantorDuration+s), "one is under way")
+	g.FinishGrant(duty)
+	held[duty] = Grant{Holder: "b", Token: 8, TransferTo: "*"}
+	require.Empty(t, ask(2*GrantorDuration, "b"), "it is to be handed on")
+	g.Renew(2*GrantorDuration, Request{Holder: "b", Duties: []string{duty}, Released: map[string]uint64{duty: 8}}, held, nil)
+	ask(2*GrantorDuration, "c")
+	require.Equal(t, "c", due(2 * GrantorDuration)[duty].Holder, "at once, and not to a, which has just fallen silent")
 	var h Holder
-	h.Hear(5*s, Promises{duty: 8})
-	h.Hear(4*s, Promises{})
-	token, holds := h.Holds(5*s+Length-1, duty)
+	h.Update(5*s, Tokens{duty: 8})
+	h.Update(4*s, Tokens{})
+	token, holds := h.Holds(5*s+HolderDuration-1, duty)
 	require.True(t, holds && token == 8, "an older answer is worth nothing")
-	_, holds = h.Holds(5*s+Length, duty)
+	_, holds = h.Holds(5*s+HolderDuration, duty)
 	require.False(t, holds)
-	require.Equal(t, []string{duty}, h.All(5*s))
-	require.EqualValues(t, 8, h.Drop(5*s, duty))
-	require.False(t, slices.Contains(h.All(5*s), duty))
+	require.Equal(t, []string{duty}, h.Duties(5*s))
+	require.EqualValues(t, 8, h.Release(5*s, duty))
+	require.False(t, slices.Contains(h.Duties(5*s), duty))
 }
--- a/limits/gate.go
+++ b/limits/gate.go
@@ -6,137 +6,137 @@
 	"hatchproxy/logic"
 )
 
-// Gate is what a listener lets in: set-ups in a second, connections that stand, shares of tenants, each address's own
+// Limiter is what a listener lets in: set-ups in a second, connections that stand, shares of tenants, each address's own
 // rate, and retries as a share of first tries. A part that is not set lets everybody in.
-type Gate struct {
-	SetUps      Rate // 0 a second: no limit
-	Standing    int  // 0: no limit; shared between tenants, max-min
-	PerAddress  Rate
-	RetryShare  float64 // 0: no limit
-	LongestWait logic.Micros
-
-	all       Bucket
-	retries   Budget
-	tenants   *Tenants
-	addresses *buckets
-	spread    *Spread
-	refused   map[Why]uint64
+type Limiter struct {
+	SetupRate      Rate // 0 a second: no limit
+	MaxConnections int  // 0: no limit; shared between tenants, max-min
+	AddressRate    Rate
+	RetryShare     float64 // 0: no limit
+	MaxWait        logic.Micros
+
+	setups        Bucket
+	retries       RetryBudget
+	tenants       *FairShare
+	addresses     *bucketCache
+	retrySpreader *RetrySpreader
+	refused       map[Reason]uint64
 }
 
-// Why is what somebody was turned away for.
-type Why string
+// Reason is what somebody was turned away for.
+type Reason string
 
 const (
-	None        Why = ""
-	ByRate      Why = "set-ups"
-	ByShare     Why = "tenant"
-	ByAddress   Why = "address"
-	ByRetries   Why = "retries"
-	mostAddress     = 65_536 // as many addresses are remembered; one that is forgotten has a full bucket again
-	mostIdle        = 65_536
-	// leastRetries lets a pool that is hardly used retry all the same.
-	leastRetries = 1.0
-	// comeAgain is how soon one is told to come that waits for others to leave: the time is not known.
-	comeAgain = logic.Second
+	Admitted            Reason = ""
+	SetupRateExceeded   Reason = "set-ups"
+	TenantShareExceeded Reason = "tenant"
+	AddressRateExceeded Reason = "address"
+	RetryBudgetExceeded Reason = "retries"
+	maxAddresses               = 65_536 // as many addresses are remembered; one that is forgotten has a full bucket again
+	maxIdleTenants             = 65_536
+	// minRetriesPerSecond lets a pool that is hardly used retry all the same.
+	minRetriesPerSecond = 1.0
+	// defaultRetryAfter is how soon one is told to come that waits for others to leave: the time is not known.
+	defaultRetryAfter = logic.Second
 )
 
-// Open makes the gate ready.
-func (g *Gate) Open(seed int64) *Gate {
-	g.retries = Budget{Share: g.RetryShare, Least: leastRetries}
-	g.spread, g.addresses, g.refused = NewSpread(seed), newBuckets(mostAddress), map[Why]uint64{}
-	if g.Standing > 0 {
-		g.tenants = NewTenants(g.Standing, mostIdle)
+// Init makes the gate ready.
+func (g *Limiter) Init(seed int64) *Limiter {
+	g.retries = RetryBudget{Share: g.RetryShare, MinPerSecond: minRetriesPerSecond}
+	g.retrySpreader, g.addresses, g.refused = NewRetrySpreader(seed), newBucketCache(maxAddresses), map[Reason]uint64{}
+	if g.MaxConnections > 0 {
+		g.tenants = NewFairShare(g.MaxConnections, maxIdleTenants)
 	}
 	return g
 }
 
-// Ask lets one in, or tells why not and when to come again. What is refused has taken nothing from the other limits.
+// Admit lets one in, or tells why not and when to come again. What is refused has taken nothing from the other limits.
 // One that was let in is given back with Leave.
-func (g *Gate) Ask(now logic.Micros, tenant, address uint64, retry bool) (Why, logic.Micros) {
+func (g *Limiter) Admit(now logic.Micros, tenant, address uint64, retry bool) (Reason, logic.Micros) {
 	var bucket *Bucket
-	if g.PerAddress.PerSecond > 0 {
-		bucket = g.addresses.of(address)
-		if ok, wait := bucket.Take(now, g.PerAddress); !ok {
-			return g.no(ByAddress), min(wait, g.LongestWait) // its own wait: others need not be spread
+	if g.AddressRate.PerSecond > 0 {
+		bucket = g.addresses.get(address)
+		if ok, wait := bucket.Take(now, g.AddressRate); !ok {
+			return g.refuse(AddressRateExceeded), min(wait, g.MaxWait) // its own wait: others need not be spread
 		}
 	}
 	back := func() {
 		if bucket != nil {
-			bucket.Back(g.PerAddress)
+			bucket.Return(g.AddressRate)
 		}
 	}
 	if g.RetryShare > 0 {
 		if !retry {
-			g.retries.First(now)
-		} else if !g.retries.Again(now) {
+			g.retries.CountFirstTry(now)
+		} else if !g.retries.TakeRetry(now) {
 			back()
-			return g.no(ByRetries), g.spread.Tell(now, comeAgain, g.LongestWait, g.room())
+			return g.refuse(RetryBudgetExceeded), g.retrySpreader.RetryAfter(now, defaultRetryAfter, g.MaxWait, g.retriesPerSecond())
 		}
 	}
-	if g.SetUps.PerSecond > 0 {
-		if ok, wait := g.all.Take(now, g.SetUps); !ok {
+	if g.SetupRate.PerSecond > 0 {
+		if ok, wait := g.setups.Take(now, g.SetupRate); !ok {
 			back()
-			return g.no(ByRate), g.spread.Tell(now, wait, g.LongestWait, g.room())
+			return g.refuse(SetupRateExceeded), g.retrySpreader.RetryAfter(now, wait, g.MaxWait, g.retriesPerSecond())
 		}
 	}
 	if g.tenants != nil && !g.tenants.Take(tenant, 1) {
-		g.all.Back(g.SetUps)
+		g.setups.Return(g.SetupRate)
 		back()
-		return g.no(ByShare), g.spread.Tell(now, comeAgain, g.LongestWait, g.room())
+		return g.refuse(TenantShareExceeded), g.retrySpreader.RetryAfter(now, defaultRetryAfter, g.MaxWait, g.retriesPerSecond())
 	}
-	return None, 0
+	return Admitted, 0
 }
 
-// Leave gives back what one held that was let in.
-func (g *Gate) Leave(tenant uint64) {
+// Release gives back what one held that was let in.
+func (g *Limiter) Release(tenant uint64) {
 	if g.tenants != nil {
-		g.tenants.Leave(tenant)
+		g.tenants.Release(tenant)
 	}
 }
 
-func (g *Gate) no(w Why) Why {
+func (g *Limiter) refuse(w Reason) Reason {
 	g.refused[w]++
 	return w
 }
 
 // Refused tells how many were turned away, and why, since the start.
-func (g *Gate) Refused() map[Why]uint64 { return g.refused }
+func (g *Limiter) Refused() map[Reason]uint64 { return g.refused }
 
-// room is how many of those told may come in a second.
-func (g *Gate) room() float64 {
-	if g.SetUps.PerSecond > 0 {
-		return g.SetUps.PerSecond / 2 // the other half is for those that come for the first time
+// retriesPerSecond is how many of those told may come in a second.
+func (g *Limiter) retriesPerSecond() float64 {
+	if g.SetupRate.PerSecond > 0 {
+		return g.SetupRate.PerSecond / 2 // the other half is for those that come for the first time
 	}
 	return 100
 }
 
-// buckets are those of many names; the ones used longest ago are forgotten.
-type buckets struct {
-	most   int
-	byName map[uint64]*list.Element
-	used   *list.List
+// bucketCache are those of many names; the ones used longest ago are forgotten.
+type bucketCache struct {
+	capacity int
+	byKey    map[uint64]*list.Element
+	recency  *list.List
 }
 
-type named struct {
-	name uint64
+type cachedBucket struct {
+	key uint64
 	Bucket
 }
 
-func newBuckets(most int) *buckets {
-	return &buckets{most, map[uint64]*list.Element{}, list.New()}
+func newBucketCache(most int) *bucketCache {
+	return &bucketCache{most, map[uint64]*list.Element{}, list.New()}
 }
 
-func (b *buckets) of(name uint64) *Bucket {
-	if e := b.byName[name]; e != nil {
-		b.used.MoveToFront(e)
-		return &e.Value.(*named).Bucket
+func (b *bucketCache) get(name uint64) *Bucket {
+	if e := b.byKey[name]; e != nil {
+		b.recency.MoveToFront(e)
+		return &e.Value.(*cachedBucket).Bucket
 	}
-	if len(b.byName) >= b.most {
-		last := b.used.Back()
-		delete(b.byName, last.Value.(*named).name)
-		b.used.Remove(last)
+	if len(b.byKey) >= b.capacity {
+		last := b.recency.Back()
+		delete(b.byKey, last.Value.(*cachedBucket).key)
+		b.recency.Remove(last)
 	}
-	n := &named{name: name}
-	b.byName[name] = b.used.PushFront(n)
+	n := &cachedBucket{key: name}
+	b.byKey[name] = b.recency.PushFront(n)
 	return &n.Bucket
 }
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -52,10 +52,10 @@
 
 // Guards against all those told coming back in one moment.
 func TestThoseThatAreTurnedAwayAreSpreadOverTheTimeThatTheyNeed(t *testing.T) {
-	s := limits.NewSpread(1)
+	s := limits.NewRetrySpreader(1)
 	var told []logic.Micros
 	for range 200 {
-		told = append(told, s.Tell(0, second/10, 60*second, 50))
+		told = append(told, s.RetryAfter(0, second/10, 60*second, 50))
 	}
 	require.GreaterOrEqual(t, told[0], second/10)
 	for at := logic.Micros(0); at < 4*second; at += second / 2 {
@@ -67,33 +67,33 @@
 		}
 		require.LessOrEqual(t, n, 27, "half a second has room for 25")
 	}
-	late := limits.NewSpread(1)
+	late := limits.NewRetrySpreader(1)
 	var beyond []logic.Micros
 	for range 5000 {
-		beyond = append(beyond, late.Tell(0, 0, second, 50))
+		beyond = append(beyond, late.RetryAfter(0, 0, second, 50))
 	}
 	require.LessOrEqual(t, slices.Max(beyond), second)
 }
 
 func TestRetriesAreNeverMoreThanTheirShareOfFirstTries(t *testing.T) {
-	b := limits.Budget{Share: 0.1, Least: 0.5}
+	b := limits.RetryBudget{Share: 0.1, MinPerSecond: 0.5}
 	now, first, again := logic.Micros(0), 0, 0
 	for range 20_000 { // a storm: each first try brings four retries
 		now += 2 * logic.Millisecond
-		b.First(now)
+		b.CountFirstTry(now)
 		first++
 		for range 4 {
-			if b.Again(now) {
+			if b.TakeRetry(now) {
 				again++
 			}
 		}
 	}
 	require.InDelta(t, 0.1, float64(again)/float64(first), 0.02)
-	quiet := limits.Budget{Share: 0.1, Least: 0.5}
+	quiet := limits.RetryBudget{Share: 0.1, MinPerSecond: 0.5}
 	granted := 0
 	for range 60 {
 		now += second
-		if quiet.Again(now) {
+		if quiet.TakeRetry(now) {
 			granted++
 		}
 	}
@@ -102,7 +102,7 @@
 
 func TestATenantUnderItsShareIsNotRefusedBecauseAnotherIsOver(t *testing.T) {
 	const small = 200
-	share := limits.NewTenants(1000, 10_000)
+	share := limits.NewFairShare(1000, 10_000)
 	for range 5000 { // one that asks for fifty times its share comes first and takes all it gets
 		share.Take(1, 1)
 	}
@@ -115,20 +115,20 @@
 			}
 		}
 		for range 200 {
-			share.Leave(1) // connections end, and it asks again at once
+			share.Release(1) // connections end, and it asks again at once
 			share.Take(1, 1)
 		}
 	}
 	require.Zero(t, refused)
 	require.LessOrEqual(t, share.Held(1), 1000/small+1+200, "what it gives back it does not get again")
-	require.LessOrEqual(t, share.Over(), 1000*15/16)
+	require.LessOrEqual(t, share.Excess(), 1000*15/16)
 }
 
 func TestSharesAreKeptAndCountedWhateverTenantsDo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(16, 64).Draw(t, "capacity")
 		tenants := rapid.IntRange(1, 8).Draw(t, "tenants")
-		s := limits.NewTenants(capacity, 4)
+		s := limits.NewFairShare(capacity, 4)
 		held := make([]int, tenants)
 		for range 400 {
 			n := rapid.IntRange(0, tenants-1).Draw(t, "tenant")
@@ -136,7 +136,7 @@
 				if held[n] > 0 {
 					held[n]--
 				}
-				s.Leave(uint64(n))
+				s.Release(uint64(n))
 				continue
 			}
 			busy := 0
@@ -160,71 +160,71 @@
 }
 
 func TestAMillionTenantNamesAreNotRemembered(t *testing.T) {
-	s := limits.NewTenants(100, 1000)
+	s := limits.NewFairShare(100, 1000)
 	for n := range uint64(1_000_000) {
 		if s.Take(n, 1) {
-			s.Leave(n)
+			s.Release(n)
 		}
 	}
-	require.LessOrEqual(t, s.Known(), 1100)
+	require.LessOrEqual(t, s.Len(), 1100)
 }
 
 func BenchmarkTenants(b *testing.B) {
-	s := limits.NewTenants(10_000, 1_000_000)
+	s := limits.NewFairShare(10_000, 1_000_000)
 	for n := range uint64(1_000_000) {
 		s.Take(n, 1)
-		s.Leave(n)
+		s.Release(n)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		n := uint64(i) * 2654435761 % 1_000_000
 		s.Take(n, 1)
-		s.Leave(n)
+		s.Release(n)
 	}
 }
 
 func TestWhatOneLimitRefusesTakesNothingFromTheOthers(t *testing.T) {
-	g := (&limits.Gate{SetUps: limits.Rate{PerSecond: 10, Burst: 5}, Standing: 16, PerAddress: limits.Rate{PerSecond: 2, Burst: 3},
-		LongestWait: 5 * second}).Open(1)
+	g := (&limits.Limiter{SetupRate: limits.Rate{PerSecond: 10, Burst: 5}, MaxConnections: 16, AddressRate: limits.Rate{PerSecond: 2, Burst: 3},
+		MaxWait: 5 * second}).Init(1)
 	now := second
 	let := 0
 	for range 20 { // one address beyond its own rate
-		if why, wait := g.Ask(now, 1, 7, false); why == limits.None {
+		if why, wait := g.Admit(now, 1, 7, false); why == limits.Admitted {
 			let++
 		} else {
-			require.Equal(t, limits.ByAddress, why)
+			require.Equal(t, limits.AddressRateExceeded, why)
 			require.LessOrEqual(t, wait, second)
 		}
 	}
 	require.Equal(t, 3, let)
 	for n := range uint64(2) {
-		why, _ := g.Ask(now, 2, 100+n, false)
-		require.Equal(t, limits.None, why, "the common rate has lost three, and not twenty")
+		why, _ := g.Admit(now, 2, 100+n, false)
+		require.Equal(t, limits.Admitted, why, "the common rate has lost three, and not twenty")
 	}
-	why, wait := g.Ask(now, 2, 200, false)
-	require.Equal(t, limits.ByRate, why)
+	why, wait := g.Admit(now, 2, 200, false)
+	require.Equal(t, limits.SetupRateExceeded, why)
 	require.Positive(t, wait)
 	now += 10 * second
 	for n := range uint64(3) {
-		why, _ = g.Ask(now, 2, 200, false)
-		require.Equal(t, limits.None, why, "%d: what the common rate refused has taken nothing from the address", n)
+		why, _ = g.Admit(now, 2, 200, false)
+		require.Equal(t, limits.Admitted, why, "%d: what the common rate refused has taken nothing from the address", n)
 	}
-	require.EqualValues(t, 17, g.Refused()[limits.ByAddress])
+	require.EqualValues(t, 17, g.Refused()[limits.AddressRateExceeded])
 }
 
 func TestARetryStormLeavesFirstTriesThrough(t *testing.T) {
-	g := (&limits.Gate{RetryShare: 0.2, LongestWait: 5 * second}).Open(1)
+	g := (&limits.Limiter{RetryShare: 0.2, MaxWait: 5 * second}).Init(1)
 	first, again, now := 0, 0, second
 	for range 2000 {
 		now += 10 * logic.Millisecond
-		why, _ := g.Ask(now, 1, 1, false)
-		require.Equal(t, limits.None, why)
+		why, _ := g.Admit(now, 1, 1, false)
+		require.Equal(t, limits.Admitted, why)
 		first++
 		for range 5 {
-			if why, _ := g.Ask(now, 1, 1, true); why == limits.None {
+			if why, _ := g.Admit(now, 1, 1, true); why == limits.Admitted {
 				again++
 			} else {
-				require.Equal(t, limits.ByRetries, why)
+				require.Equal(t, limits.RetryBudgetExceeded, why)
 			}
 		}
 	}
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -9,15 +9,15 @@
 	"hatchproxy/logic"
 )
 
-// settled is a whole fleet of instances that have placed so many connections, of groups as Zipf has them, before the same
+// fillFleet is a whole fleet of instances that have placed so many connections, of groups as Zipf has them, before the same
 // servers; nothing tells them of late messages, and each knows its own few connections only. It returns the load of the
 // fullest server over the mean one, in connections and three for each group that it holds, and how many groups the
 // servers hold in all.
-func settled(t *testing.T, proxies, servers, groups, connections int) (fullest float64, held int) {
+func fillFleet(t *testing.T, proxies, servers, groups, connections int) (fullest float64, held int) {
 	rng := rand.New(rand.NewSource(1))
-	fleet := make([]*fake, proxies)
+	fleet := make([]*testHost, proxies)
 	for i := range fleet {
-		fleet[i] = openSeeded(t, int64(i+1), proxies, servers)
+		fleet[i] = newSeededHost(t, int64(i+1), proxies, servers)
 	}
 	shares := make([]float64, groups) // added up
 	sum := 0.0
@@ -28,12 +28,12 @@
 	load, members := map[logic.ServerID]float64{}, map[logic.ServerID]map[logic.GroupID]bool{}
 	for range connections {
 		f := fleet[rng.Intn(proxies)]
-		a := f.arrive(0)
+		a := f.newAttachment(0)
 		for x := rng.Float64() * sum; a.Group == 0 || x > shares[a.Group-1]; {
 			a.Group++
 		}
-		id := f.send(a).Server
-		f.Stands(f.now, a)
+		id := f.mustSend(a).Server
+		f.RecordEstablished(f.now, a)
 		if members[id] == nil {
 			members[id] = map[logic.GroupID]bool{}
 		}
@@ -54,10 +54,10 @@
 // Three hundred proxies sent the large groups to their first server until it held seven times what the mean one did; it
 // dropped its clients, they came again and were sent back.
 func TestTheFirstServersOfLargeGroupsAreNotOverfilled(t *testing.T) {
-	fullest, held := settled(t, 294, 87, 65, 2900)
+	fullest, held := fillFleet(t, 294, 87, 65, 2900)
 	require.Less(t, fullest, 5.0)
 	require.Less(t, held, 320, "and a group stays on as few servers as will do: without an order it is on 1,500")
-	fullest, held = settled(t, 279, 83, 30, 1500)
+	fullest, held = fillFleet(t, 279, 83, 30, 1500)
 	require.Less(t, fullest, 5.0)
 	require.Less(t, held, 200)
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -11,242 +11,242 @@
 )
 
 func TestFewestActiveAndPendingTakeTurns(t *testing.T) {
-	f := open(t, 4)
-	for id, on := range f.fill(12) {
+	f := newHost(t, 4)
+	for id, on := range f.establishMany(12) {
 		require.Len(t, on, 3, "server %d", id)
 	}
 }
 
 func TestPendingCountsBeforeTheConnectionStands(t *testing.T) {
-	f := open(t, 3)
+	f := newHost(t, 3)
 	seen := map[logic.ServerID]bool{}
 	for range 3 {
-		seen[f.send(f.arrive(0)).Server] = true
+		seen[f.mustSend(f.newAttachment(0)).Server] = true
 	}
 	require.Len(t, seen, 3)
 }
 
 func TestAnEndedConnectionMakesRoom(t *testing.T) {
-	f := open(t, 3)
-	on := f.fill(9)
-	require.Equal(t, logic.Nothing, f.After(f.now, on[2][0], logic.OK, true).Verdict)
-	_, id := f.place()
+	f := newHost(t, 3)
+	on := f.establishMany(9)
+	require.Equal(t, logic.NoAction, f.RecordOutcome(f.now, on[2][0], logic.OK, true).Action)
+	_, id := f.establish()
 	require.Equal(t, logic.ServerID(2), id)
 }
 
 func TestAHeavierWeightBearsMore(t *testing.T) {
-	f := open(t, 1)
-	f.Listed(f.now, 2, 0, 0, 2, logic.Ready, 3, 0)
-	f.ListDone(f.now, false)
-	on := f.fill(12)
+	f := newHost(t, 1)
+	f.UpdateServer(f.now, 2, 0, 0, 2, logic.Ready, 3, 0)
+	f.EndList(f.now, false)
+	on := f.establishMany(12)
 	require.Len(t, on[2], 9)
 }
 
 func TestNothingNewGoesToDrainingOrGoneServers(t *testing.T) {
-	f := open(t, 3)
-	f.tell(1, logic.Draining, 0)
-	f.tell(2, logic.Gone, 0)
-	require.Len(t, f.fill(6)[3], 6)
+	f := newHost(t, 3)
+	f.updateServer(1, logic.Draining, 0)
+	f.updateServer(2, logic.Gone, 0)
+	require.Len(t, f.establishMany(6)[3], 6)
 }
 
 func TestAServerMissingFromAWholeListIsGone(t *testing.T) {
-	f := open(t, 3)
-	f.ListWhole(f.now)
-	f.tell(2, logic.Ready, 0)
-	f.ListDone(f.now, false)
-	require.Len(t, f.fill(4)[2], 4)
+	f := newHost(t, 3)
+	f.BeginFullList(f.now)
+	f.updateServer(2, logic.Ready, 0)
+	f.EndList(f.now, false)
+	require.Len(t, f.establishMany(4)[2], 4)
 }
 
 func TestAnEmptyFleetHoldsAndThenPushesBack(t *testing.T) {
-	f := open(t, 0)
-	a := f.arrive(0)
-	ans := f.Where(f.now, a)
-	require.Equal(t, logic.NotYet, ans.Verdict)
-	require.Positive(t, ans.For)
-	f.now = a.Limit - ms
-	require.Equal(t, logic.PushBack, f.Where(f.now, a).Verdict)
+	f := newHost(t, 0)
+	a := f.newAttachment(0)
+	ans := f.ChooseServer(f.now, a)
+	require.Equal(t, logic.Hold, ans.Action)
+	require.Positive(t, ans.Duration)
+	f.now = a.HardLimit - ms
+	require.Equal(t, logic.PushBack, f.ChooseServer(f.now, a).Action)
 }
 
 func TestANewServerStartsAtTheOthersMeanAndIsPacedWhileCold(t *testing.T) {
-	f := open(t, 3)
-	f.fill(30)
-	f.tell(4, logic.Ready, f.now)
-	f.ListDone(f.now, false)
-	require.LessOrEqual(t, len(f.fill(12)[4]), 3)
-	f.pass(20 * sec)
-	require.NotEmpty(t, f.fill(12)[4])
+	f := newHost(t, 3)
+	f.establishMany(30)
+	f.updateServer(4, logic.Ready, f.now)
+	f.EndList(f.now, false)
+	require.LessOrEqual(t, len(f.establishMany(12)[4]), 3)
+	f.advance(20 * sec)
+	require.NotEmpty(t, f.establishMany(12)[4])
 }
 
 func TestANewServerThatIsWarmStartsAtTheOthersMeanToo(t *testing.T) {
-	f := open(t, 3)
-	f.fill(30)
-	f.tell(4, logic.Ready, 0)
-	f.ListDone(f.now, false)
-	require.LessOrEqual(t, len(f.fill(8)[4]), 3)
+	f := newHost(t, 3)
+	f.establishMany(30)
+	f.updateServer(4, logic.Ready, 0)
+	f.EndList(f.now, false)
+	require.LessOrEqual(t, len(f.establishMany(8)[4]), 3)
 }
 
 func TestTheListIsAskedAgainAfterAFailureButSpaced(t *testing.T) {
-	f := open(t, 2)
-	f.pass(300 * ms)
-	require.Equal(t, 1, f.count(logic.Subscribe))
+	f := newHost(t, 2)
+	f.advance(300 * ms)
+	require.Equal(t, 1, f.countJobs(logic.Subscribe))
 	for range 4 {
-		f.ListFailed(f.now)
-		f.pass(100 * ms)
+		f.ListRequestFailed(f.now)
+		f.advance(100 * ms)
 	}
-	require.Equal(t, 1, f.count(logic.Subscribe))
-	f.pass(6 * sec)
-	require.GreaterOrEqual(t, f.count(logic.Subscribe), 2)
-	f.ListDone(f.now, false)
-	before := f.count(logic.Subscribe)
-	f.pass(20 * sec)
-	require.Equal(t, before, f.count(logic.Subscribe), "a subscription that stands is not asked for again")
+	require.Equal(t, 1, f.countJobs(logic.Subscribe))
+	f.advance(6 * sec)
+	require.GreaterOrEqual(t, f.countJobs(logic.Subscribe), 2)
+	f.EndList(f.now, false)
+	before := f.countJobs(logic.Subscribe)
+	f.advance(20 * sec)
+	require.Equal(t, before, f.countJobs(logic.Subscribe), "a subscription that stands is not asked for again")
 }
 
 func TestAServerThatFailsFastIsPassedOverAndComesBack(t *testing.T) {
-	f := open(t, 4)
-	f.fill(8)
+	f := newHost(t, 4)
+	f.establishMany(8)
 	for failures := 0; failures < 2; {
-		a := f.arrive(0)
-		bad := f.send(a).Server == 1
+		a := f.newAttachment(0)
+		bad := f.mustSend(a).Server == 1
 		if bad {
 			failures++
-			again := f.After(f.now, a, logic.Failure, false)
-			require.Equal(t, logic.Send, again.Verdict)
+			again := f.RecordOutcome(f.now, a, logic.Failure, false)
+			require.Equal(t, logic.Send, again.Action)
 			require.NotEqual(t, logic.ServerID(1), again.Server)
 		}
-		f.Stands(f.now, a)
+		f.RecordEstablished(f.now, a)
 	}
-	require.Empty(t, f.fill(8)[1], "its count is the lowest, for it has failed the others")
-	f.pass(5 * sec)
-	require.NotEmpty(t, f.fill(16)[1])
+	require.Empty(t, f.establishMany(8)[1], "its count is the lowest, for it has failed the others")
+	f.advance(5 * sec)
+	require.NotEmpty(t, f.establishMany(16)[1])
 }
 
 func TestWhereAllFailAlikeNobodyIsSingledOutAndOneGoesAtATime(t *testing.T) {
-	f := open(t, 4)
-	f.fill(8)
-	a := f.arrive(0)
-	f.send(a)
+	f := newHost(t, 4)
+	f.establishMany(8)
+	a := f.newAttachment(0)
+	f.mustSend(a)
 	for range 3 {
-		f.pass(100 * ms)
-		require.Equal(t, logic.Send, f.After(f.now, a, logic.TimedOut, false).Verdict)
+		f.advance(100 * ms)
+		require.Equal(t, logic.Send, f.RecordOutcome(f.now, a, logic.TimedOut, false).Action)
 	}
 	// A slow store: the one that is out has all its time, the next one waits.
-	other := f.arrive(0)
-	require.Equal(t, logic.NotYet, f.Where(f.now, other).Verdict)
-	f.Stands(f.now, a)
-	f.send(other)
+	other := f.newAttachment(0)
+	require.Equal(t, logic.Hold, f.ChooseServer(f.now, other).Action)
+	f.RecordEstablished(f.now, a)
+	f.mustSend(other)
 }
 
 func TestAHungServerLeavesTimeForAnother(t *testing.T) {
-	f := open(t, 3)
-	f.fill(6)
-	require.Less(t, f.send(f.arrive(0)).For, status.Quoted)
-	f.pass(2 * sec)
-	require.Equal(t, 2*sec, f.send(f.arrive(0)).For, "none stood lately: the store may be slow")
-	f.pass(sec)
-	a, _ := f.place()
-	require.True(t, a.Stands(), "the servers that hold the two set-ups are passed over")
+	f := newHost(t, 3)
+	f.establishMany(6)
+	require.Less(t, f.mustSend(f.newAttachment(0)).Duration, statusProduct.QuotedTime)
+	f.advance(2 * sec)
+	require.Equal(t, 2*sec, f.mustSend(f.newAttachment(0)).Duration, "none stood lately: the store may be slow")
+	f.advance(sec)
+	a, _ := f.establish()
+	require.True(t, a.IsEstablished(), "the servers that hold the two set-ups are passed over")
 }
 
 func TestAServerThatShedsIsLeftAlone(t *testing.T) {
-	f := open(t, 3)
-	on := f.fill(9)
+	f := newHost(t, 3)
+	on := f.establishMany(9)
 	for _, a := range on[1] {
-		f.After(f.now, a, logic.Reset, true)
+		f.RecordOutcome(f.now, a, logic.Reset, true)
 	}
-	require.Empty(t, f.fill(2)[1], "its count is the lowest, for it has dropped them all")
+	require.Empty(t, f.establishMany(2)[1], "its count is the lowest, for it has dropped them all")
 }
 
 func TestALateServerFallsBehindAndLosesSomeConnections(t *testing.T) {
-	f := open(t, 4)
-	on := f.fill(40)
-	f.late(500*ms, 6, 1)
-	require.Positive(t, f.count(logic.Move))
-	for _, e := range f.errand {
-		if e.Task == logic.Move {
-			require.Contains(t, ids(on[1]), e.Attachment)
+	f := newHost(t, 4)
+	on := f.establishMany(40)
+	f.reportDelays(500*ms, 6, 1)
+	require.Positive(t, f.countJobs(logic.Move))
+	for _, e := range f.jobs {
+		if e.Kind == logic.Move {
+			require.Contains(t, attachmentIDs(on[1]), e.Attachment)
 		}
 	}
-	require.Empty(t, f.fill(8)[1])
-	f.Delay(f.now, 1, 0)
-	f.pass(150 * sec)
-	require.NotEmpty(t, f.fill(8)[1])
+	require.Empty(t, f.establishMany(8)[1])
+	f.RecordDelay(f.now, 1, 0)
+	f.advance(150 * sec)
+	require.NotEmpty(t, f.establishMany(8)[1])
 }
 
 func TestADelayThatFallsMovesNobody(t *testing.T) {
-	f := open(t, 4)
-	f.fill(40)
-	f.Delay(f.now, 1, 900*ms)
+	f := newHost(t, 4)
+	f.establishMany(40)
+	f.RecordDelay(f.now, 1, 900*ms)
 	for took := 800 * ms; took > 200*ms; took -= 100 * ms {
-		f.Delay(f.now, 1, took)
-		f.pass(sec)
+		f.RecordDelay(f.now, 1, took)
+		f.advance(sec)
 	}
-	require.Zero(t, f.count(logic.Move))
+	require.Zero(t, f.countJobs(logic.Move))
 }
 
 func TestInACrowdTheHeavyArePushedBackAtOnce(t *testing.T) {
-	f := open(t, 4)
-	on := f.fill(20)
+	f := newHost(t, 4)
+	on := f.establishMany(20)
 	for _, as := range on {
 		for _, a := range as {
-			f.Load(f.now, a, 1000)
+			f.RecordLoad(f.now, a, 1000)
 		}
 	}
-	heavy := f.arrive(0)
-	heavy.Hint = 8000
-	f.send(heavy)
-	f.After(f.now, heavy, logic.Failure, true)
-	f.late(150*ms, 1, 1, 2)
-	again := f.arrive(0)
-	again.Hint = 8000
-	ans := f.Where(f.now, again)
-	require.Equal(t, logic.PushBack, ans.Verdict)
-	require.Positive(t, f.count(logic.Log), "on-call staff can read of it")
-	require.Positive(t, ans.For, "the client is told when to come back")
-	f.send(f.arrive(0))
+	heavy := f.newAttachment(0)
+	heavy.LoadHint = 8000
+	f.mustSend(heavy)
+	f.RecordOutcome(f.now, heavy, logic.Failure, true)
+	f.reportDelays(150*ms, 1, 1, 2)
+	again := f.newAttachment(0)
+	again.LoadHint = 8000
+	ans := f.ChooseServer(f.now, again)
+	require.Equal(t, logic.PushBack, ans.Action)
+	require.Positive(t, f.countJobs(logic.Log), "on-call staff can read of it")
+	require.Positive(t, ans.Duration, "the client is told when to come back")
+	f.mustSend(f.newAttachment(0))
 }
 
 // What is moved or dropped is mostly heavy, and comes again at a proxy that knows nothing of it.
 func TestInACrowdUnknownClientsThatComeBackArePushedBack(t *testing.T) {
-	f := open(t, 4)
-	for _, as := range f.fill(20) {
+	f := newHost(t, 4)
+	for _, as := range f.establishMany(20) {
 		for _, a := range as {
-			f.Load(f.now, a, 1000)
+			f.RecordLoad(f.now, a, 1000)
 		}
 	}
-	f.late(150*ms, 3, 1, 2, 3, 4)
-	back := f.arrive(0)
-	back.Back = true
-	require.Equal(t, logic.PushBack, f.Where(f.now, back).Verdict)
-	f.send(f.arrive(0))
+	f.reportDelays(150*ms, 3, 1, 2, 3, 4)
+	back := f.newAttachment(0)
+	back.Returning = true
+	require.Equal(t, logic.PushBack, f.ChooseServer(f.now, back).Action)
+	f.mustSend(f.newAttachment(0))
 }
 
 // A proxy of a large fleet holds connections on a few servers, and must not take the others to be well.
 func TestAProxyThatKnowsFewServersSeesTheCrowd(t *testing.T) {
-	f := openSeeded(t, 1, 60, 40)
+	f := newSeededHost(t, 1, 60, 40)
 	var known []logic.ServerID
-	for on := range f.fill(6) {
+	for on := range f.establishMany(6) {
 		known = append(known, on)
 	}
-	back := f.arrive(0)
-	back.Back = true
-	f.late(150*ms, 1, known...)
-	require.Equal(t, logic.PushBack, f.Where(f.now, back).Verdict)
+	back := f.newAttachment(0)
+	back.Returning = true
+	f.reportDelays(150*ms, 1, known...)
+	require.Equal(t, logic.PushBack, f.ChooseServer(f.now, back).Action)
 }
 
 // Of the proxies with connections on a late server, those that hold the heavy ones are to move them.
 func TestALateServerIsRelievedOfLoadNotOfNumbers(t *testing.T) {
 	moved := func(level float64) (n int) {
 		for seed := range int64(40) {
-			f := openSeeded(t, seed, 60, 20)
-			for on, as := range f.fill(20) {
-				f.Load(f.now, as[0], 1000)
+			f := newSeededHost(t, seed, 60, 20)
+			for on, as := range f.establishMany(20) {
+				f.RecordLoad(f.now, as[0], 1000)
 				if on == 1 {
-					f.Load(f.now, as[0], level)
+					f.RecordLoad(f.now, as[0], level)
 				}
 			}
-			f.late(100*ms, 3, 1)
-			n += f.count(logic.Move)
+			f.reportDelays(100*ms, 3, 1)
+			n += f.countJobs(logic.Move)
 		}
 		return n
 	}
@@ -254,14 +254,14 @@
 }
 
 func TestMembersOfAGroupStayTogether(t *testing.T) {
-	f := open(t, 4)
-	f.fill(8)
+	f := newHost(t, 4)
+	f.establishMany(8)
 	var home logic.ServerID
 	for i := range 4 {
-		a := f.arrive(0)
+		a := f.newAttachment(0)
 		a.Group = 7
-		id := f.send(a).Server
-		f.Stands(f.now, a)
+		id := f.mustSend(a).Server
+		f.RecordEstablished(f.now, a)
 		if i == 0 {
 			home = id
 		}
@@ -273,10 +273,10 @@
 // all, half of whose servers count alike: its first two of forty.
 func TestProxiesAgreeOnTheHomesOfAGroup(t *testing.T) {
 	home := func(group logic.GroupID, seed int64) logic.ServerID {
-		f := openSeeded(t, seed, 100, 40)
-		a := f.arrive(0)
+		f := newSeededHost(t, seed, 100, 40)
+		a := f.newAttachment(0)
 		a.Group = group
-		return f.send(a).Server
+		return f.mustSend(a).Server
 	}
 	homes := map[logic.ServerID]bool{}
 	few := 0
@@ -300,10 +300,10 @@
 func TestManyProxiesWithoutConnectionsDoNotHerdOnTheLargest(t *testing.T) {
 	firsts := map[logic.ServerID]int{}
 	for seed := range int64(60) {
-		f := openSeeded(t, seed, 60, 9)
-		f.Listed(f.now, 10, 0, 0, 10, logic.Ready, 3, 0)
-		f.ListDone(f.now, false)
-		firsts[f.send(f.arrive(0)).Server]++
+		f := newSeededHost(t, seed, 60, 9)
+		f.UpdateServer(f.now, 10, 0, 0, 10, logic.Ready, 3, 0)
+		f.EndList(f.now, false)
+		firsts[f.mustSend(f.newAttachment(0)).Server]++
 	}
 	require.Less(t, firsts[10], 30)
 	require.Greater(t, firsts[10], 5, "it still bears more than another")
@@ -313,10 +313,10 @@
 func TestManyProxiesShareTheBudgetOfAColdServer(t *testing.T) {
 	sent := 0
 	for seed := range int64(60) {
-		f := openSeeded(t, seed, 60, 0)
-		f.tell(1, logic.Ready, f.now)
-		f.ListDone(f.now, false)
-		if f.Where(f.now, f.arrive(0)).Verdict == logic.Send {
+		f := newSeededHost(t, seed, 60, 0)
+		f.updateServer(1, logic.Ready, f.now)
+		f.EndList(f.now, false)
+		if f.ChooseServer(f.now, f.newAttachment(0)).Action == logic.Send {
 			sent++
 		}
 	}
@@ -327,16 +327,16 @@
 func TestTheDrawForAColdServerComesAgainWithEachWindow(t *testing.T) {
 	var sent [3]int
 	for seed := range int64(400) {
-		f := openSeeded(t, seed, 20, 0)
-		f.tell(1, logic.Ready, f.now)
-		f.ListDone(f.now, false)
+		f := newSeededHost(t, seed, 20, 0)
+		f.updateServer(1, logic.Ready, f.now)
+		f.EndList(f.now, false)
 		for window := range sent {
-			a := f.arrive(0)
-			if f.Where(f.now, a).Verdict == logic.Send {
+			a := f.newAttachment(0)
+			if f.ChooseServer(f.now, a).Action == logic.Send {
 				sent[window]++
-				f.After(f.now, a, logic.Cancelled, true)
+				f.RecordOutcome(f.now, a, logic.Cancelled, true)
 			}
-			f.pass(3*sec + 10*ms)
+			f.advance(3*sec + 10*ms)
 		}
 	}
 	for _, n := range sent {
@@ -348,15 +348,15 @@
 func TestWhereAProxyHoldsNextToNothingReturnedClientsGoWhereItIsKnownToBeWell(t *testing.T) {
 	known, strange := 0, 0
 	for seed := range int64(40) {
-		f := openSeeded(t, seed, 80, 10)
-		f.HearDelays(true)
-		first := f.fill(1)
-		a := f.arrive(0)
-		a.Back = true
-		if on := f.send(a).Server; first[on] != nil {
+		f := newSeededHost(t, seed, 80, 10)
+		f.SetDelaysReported(true)
+		first := f.establishMany(1)
+		a := f.newAttachment(0)
+		a.Returning = true
+		if on := f.mustSend(a).Server; first[on] != nil {
 			known++
 		}
-		if on := f.send(f.arrive(0)).Server; first[on] == nil {
+		if on := f.mustSend(f.newAttachment(0)).Server; first[on] == nil {
 			strange++
 		}
 	}
@@ -368,20 +368,20 @@
 func TestServersOfASlowModelAreTakenForSlowUnseen(t *testing.T) {
 	slow, fast := 0, 0
 	for seed := range int64(20) {
-		f := openSeeded(t, seed, 60, 0)
+		f := newSeededHost(t, seed, 60, 0)
 		for id := logic.ServerID(1); id <= 40; id++ {
-			f.Listed(f.now, id, 0, logic.ModelID(id%2), logic.CellID(id), logic.Ready, 1, 0)
+			f.UpdateServer(f.now, id, 0, logic.ModelID(id%2), logic.CellID(id), logic.Ready, 1, 0)
 		}
-		f.ListDone(f.now, false)
+		f.EndList(f.now, false)
 		var known []logic.ServerID
-		for on := range f.fill(8) {
+		for on := range f.establishMany(8) {
 			if on%2 == 1 {
 				known = append(known, on)
 			}
 		}
 		slices.Sort(known)
-		f.late(400*ms, 5, known...)
-		if on := f.send(f.arrive(0)).Server; on%2 == 1 {
+		f.reportDelays(400*ms, 5, known...)
+		if on := f.mustSend(f.newAttachment(0)).Server; on%2 == 1 {
 			slow++
 		} else {
 			fast++
@@ -394,14 +394,14 @@
 func TestAZoneInTroubleSendsAcrossEvenFromSmallCounts(t *testing.T) {
 	across := 0
 	for seed := range int64(20) {
-		f := openSeeded(t, seed, 60, 4)
+		f := newSeededHost(t, seed, 60, 4)
 		for id := logic.ServerID(5); id <= 8; id++ {
-			f.Listed(f.now, id, 1, 0, 5, logic.Ready, 1, 0)
+			f.UpdateServer(f.now, id, 1, 0, 5, logic.Ready, 1, 0)
 		}
-		f.ListDone(f.now, false)
-		f.fill(4)
-		f.late(300*ms, 3, 1, 2, 3, 4)
-		if f.send(f.arrive(0)).Server > 4 {
+		f.EndList(f.now, false)
+		f.establishMany(4)
+		f.reportDelays(300*ms, 3, 1, 2, 3, 4)
+		if f.mustSend(f.newAttachment(0)).Server > 4 {
 			across++
 		}
 	}
@@ -410,198 +410,198 @@
 
 // Connections that a proxy takes over may stand across zones for minutes.
 func TestConnectionsAcrossZonesMoveHomeWhileThatIsCalm(t *testing.T) {
-	f := open(t, 2)
-	f.Listed(f.now, 3, 1, 0, 3, logic.Ready, 1, 0)
-	f.ListDone(f.now, false)
+	f := newHost(t, 2)
+	f.UpdateServer(f.now, 3, 1, 0, 3, logic.Ready, 1, 0)
+	f.EndList(f.now, false)
 	for range 5 {
-		f.Carried(f.now, f.arrive(0), 3)
+		f.RecordRestored(f.now, f.newAttachment(0), 3)
 	}
-	f.fill(4)
-	f.late(200*ms, 4, 1, 2)
-	for _, e := range f.errand {
-		require.False(t, e.Task == logic.Move && e.Attachment <= 5, "the own zone is in trouble")
+	f.establishMany(4)
+	f.reportDelays(200*ms, 4, 1, 2)
+	for _, e := range f.jobs {
+		require.False(t, e.Kind == logic.Move && e.Attachment <= 5, "the own zone is in trouble")
 	}
-	f.errand = nil
-	f.pass(120 * sec)
-	require.Positive(t, f.count(logic.Move))
+	f.jobs = nil
+	f.advance(120 * sec)
+	require.Positive(t, f.countJobs(logic.Move))
 }
 
 func TestAClientThatComesBackWeighsWhatItWeighed(t *testing.T) {
-	f := open(t, 2)
-	on := f.fill(10)
+	f := newHost(t, 2)
+	on := f.establishMany(10)
 	for _, as := range on {
 		for _, a := range as {
-			f.Load(f.now, a, 1000)
+			f.RecordLoad(f.now, a, 1000)
 		}
 	}
 	heavy := on[1][0]
-	f.Load(f.now, heavy, 6000)
-	f.After(f.now, heavy, logic.Cancelled, true)
-	back := f.arrive(0)
+	f.RecordLoad(f.now, heavy, 6000)
+	f.RecordOutcome(f.now, heavy, logic.Cancelled, true)
+	back := f.newAttachment(0)
 	back.Key = heavy.Key
-	require.Equal(t, logic.ServerID(1), f.send(back).Server)
-	f.Stands(f.now, back)
-	require.Len(t, f.fill(3)[2], 3, "one heavy connection counts as several")
+	require.Equal(t, logic.ServerID(1), f.mustSend(back).Server)
+	f.RecordEstablished(f.now, back)
+	require.Len(t, f.establishMany(3)[2], 3, "one heavy connection counts as several")
 }
 
 func TestTheOwnZoneComesFirstWhereACrossingIsDear(t *testing.T) {
-	f := open(t, 2)
-	f.Listed(f.now, 3, 1, 0, 3, logic.Ready, 1, 0)
-	f.ListDone(f.now, false)
-	on := f.fill(12)
+	f := newHost(t, 2)
+	f.UpdateServer(f.now, 3, 1, 0, 3, logic.Ready, 1, 0)
+	f.EndList(f.now, false)
+	on := f.establishMany(12)
 	require.LessOrEqual(t, len(on[3]), 2)
-	f.late(200*ms, 1, 1, 2)
-	_, id := f.place()
+	f.reportDelays(200*ms, 1, 1, 2)
+	_, id := f.establish()
 	require.Equal(t, logic.ServerID(3), id, "the own zone can take no more")
 }
 
 func TestAOneShotThatMayHaveRunIsGivenUp(t *testing.T) {
-	f := open(t, 3, logic.Product{Quoted: 300 * ms, Repeat: logic.OneShot})
-	a := f.arrive(0)
-	require.Equal(t, 2*sec, f.send(a).For, "it waits as long as it can")
-	require.Equal(t, logic.Send, f.After(f.now, a, logic.NoConnection, false).Verdict)
-	require.Equal(t, logic.GiveUp, f.After(f.now, a, logic.TimedOut, false).Verdict)
+	f := newHost(t, 3, logic.Product{QuotedTime: 300 * ms, Idempotency: logic.OneShot})
+	a := f.newAttachment(0)
+	require.Equal(t, 2*sec, f.mustSend(a).Duration, "it waits as long as it can")
+	require.Equal(t, logic.Send, f.RecordOutcome(f.now, a, logic.NoConnection, false).Action)
+	require.Equal(t, logic.GiveUp, f.RecordOutcome(f.now, a, logic.TimedOut, false).Action)
 }
 
 func TestAStampedOneGoesAgainOnlyInItsGroupAndWindow(t *testing.T) {
-	stamped := logic.Product{Quoted: 300 * ms, Repeat: logic.Stamped, Reach: logic.ReachCell, Memory: sec}
-	f := open(t, 3, stamped)
-	a := f.arrive(0)
-	first := f.send(a).Server
-	f.pass(200 * ms)
-	again := f.After(f.now, a, logic.TimedOut, false)
-	require.Equal(t, logic.Send, again.Verdict)
+	stamped := logic.Product{QuotedTime: 300 * ms, Idempotency: logic.Stamped, DedupScope: logic.DedupCell, DedupWindow: sec}
+	f := newHost(t, 3, stamped)
+	a := f.newAttachment(0)
+	first := f.mustSend(a).Server
+	f.advance(200 * ms)
+	again := f.RecordOutcome(f.now, a, logic.TimedOut, false)
+	require.Equal(t, logic.Send, again.Action)
 	require.Equal(t, first, again.Server, "each server here is a cell of its own")
-	f.pass(900 * ms)
-	require.Equal(t, logic.GiveUp, f.After(f.now, a, logic.TimedOut, false).Verdict)
+	f.advance(900 * ms)
+	require.Equal(t, logic.GiveUp, f.RecordOutcome(f.now, a, logic.TimedOut, false).Action)
 }
 
 func TestPacketsOfAnOpenConnectionReturnToTheirServer(t *testing.T) {
-	f := open(t, 4)
-	f.Balancer = logic.New(1, 0, 1, 0, []logic.Product{status}, logic.Unweighed, logic.Listing{},
-		logic.ColdRule{}, logic.Leave{Dispatches: 5, Through: true}, 0, 0)
+	f := newHost(t, 4)
+	f.Balancer = logic.New(1, 0, 1, 0, []logic.Product{statusProduct}, logic.WeightNone, logic.ListConfig{},
+		logic.ColdStart{}, logic.Permissions{MaxDispatches: 5, PassThrough: true}, 0, 0)
 	for id := logic.ServerID(1); id <= 4; id++ {
-		f.tell(id, logic.Ready, 0)
+		f.updateServer(id, logic.Ready, 0)
 	}
-	open := f.arrive(0)
-	f.Carried(f.now, open, 3)
-	f.After(f.now, open, logic.Cancelled, true)
-	back := f.arrive(0)
+	open := f.newAttachment(0)
+	f.RecordRestored(f.now, open, 3)
+	f.RecordOutcome(f.now, open, logic.Cancelled, true)
+	back := f.newAttachment(0)
 	back.Key, back.MidFlow = open.Key, true
-	require.Equal(t, logic.ServerID(3), f.send(back).Server)
+	require.Equal(t, logic.ServerID(3), f.mustSend(back).Server)
 }
 
 func TestDispatchesAreCounted(t *testing.T) {
-	f := open(t, 8)
-	a := f.arrive(0)
-	f.send(a)
+	f := newHost(t, 8)
+	a := f.newAttachment(0)
+	f.mustSend(a)
 	for range 4 {
-		require.Equal(t, logic.Send, f.After(f.now, a, logic.Full, false).Verdict)
+		require.Equal(t, logic.Send, f.RecordOutcome(f.now, a, logic.Full, false).Action)
 	}
-	require.Equal(t, logic.PushBack, f.After(f.now, a, logic.Full, false).Verdict)
+	require.Equal(t, logic.PushBack, f.RecordOutcome(f.now, a, logic.Full, false).Action)
 }
 
-// retuned is an instance made from other figures.
-func retuned(dispatches int, products ...logic.Product) *logic.Balancer {
-	return logic.New(2, 0, 1, 0, products, logic.ByNominalSize, logic.Listing{Subscribe: true, Within: 10 * sec},
-		logic.ColdRule{}, logic.Leave{Dispatches: dispatches, Advice: sec}, 0.2, 0.01)
+// newConfigured is an instance made from other figures.
+func newConfigured(dispatches int, products ...logic.Product) *logic.Balancer {
+	return logic.New(2, 0, 1, 0, products, logic.WeightNominal, logic.ListConfig{Subscribe: true, AskWithin: 10 * sec},
+		logic.ColdStart{}, logic.Permissions{MaxDispatches: dispatches, MaxRetryAfter: sec}, 0.2, 0.01)
 }
 
 func TestWhatIsInHandKeepsTheRulesItBeganWith(t *testing.T) {
-	harmless := logic.Product{Quoted: 300 * ms, Repeat: logic.Harmless, Message: 150 * ms}
+	harmless := logic.Product{QuotedTime: 300 * ms, Idempotency: logic.Harmless, QuotedMessageTime: 150 * ms}
 	once := harmless
-	once.Repeat = logic.OneShot
-	f := open(t, 8, harmless)
-	old := f.arrive(0)
-	f.send(old)
-	numbers := f.Retune(retuned(2, once))
+	once.Idempotency = logic.OneShot
+	f := newHost(t, 8, harmless)
+	old := f.newAttachment(0)
+	f.mustSend(old)
+	numbers := f.Reconfigure(newConfigured(2, once))
 	require.Equal(t, []logic.ProductID{1}, numbers, "another effect is another row")
-	fresh := f.arrive(numbers[0])
-	f.send(fresh)
-	require.Equal(t, logic.GiveUp, f.After(f.now, fresh, logic.TimedOut, false).Verdict, "it may have run, and runs once")
+	fresh := f.newAttachment(numbers[0])
+	f.mustSend(fresh)
+	require.Equal(t, logic.GiveUp, f.RecordOutcome(f.now, fresh, logic.TimedOut, false).Action, "it may have run, and runs once")
 	for range 4 {
-		require.Equal(t, logic.Send, f.After(f.now, old, logic.TimedOut, false).Verdict, "harmless, five times in all")
+		require.Equal(t, logic.Send, f.RecordOutcome(f.now, old, logic.TimedOut, false).Action, "harmless, five times in all")
 	}
-	require.Equal(t, logic.PushBack, f.After(f.now, old, logic.TimedOut, false).Verdict)
-	fresh = f.arrive(numbers[0])
-	f.send(fresh)
-	require.Equal(t, logic.Send, f.After(f.now, fresh, logic.Full, false).Verdict)
-	require.Equal(t, logic.PushBack, f.After(f.now, fresh, logic.Full, false).Verdict, "two in all")
+	require.Equal(t, logic.PushBack, f.RecordOutcome(f.now, old, logic.TimedOut, false).Action)
+	fresh = f.newAttachment(numbers[0])
+	f.mustSend(fresh)
+	require.Equal(t, logic.Send, f.RecordOutcome(f.now, fresh, logic.Full, false).Action)
+	require.Equal(t, logic.PushBack, f.RecordOutcome(f.now, fresh, logic.Full, false).Action, "two in all")
 }
 
 func TestRetuningKeepsWhatIsKnown(t *testing.T) {
-	f := open(t, 3)
-	f.fill(9)
-	f.tell(2, logic.Draining, 0)
-	f.ListDone(f.now, true)
+	f := newHost(t, 3)
+	f.establishMany(9)
+	f.updateServer(2, logic.Draining, 0)
+	f.EndList(f.now, true)
 	for range 50 {
-		require.Len(t, f.Retune(retuned(2, status, status)), 2)
+		require.Len(t, f.Reconfigure(newConfigured(2, statusProduct, statusProduct)), 2)
 	}
-	require.Equal(t, f.Retune(retuned(2, status)), f.Retune(retuned(2, status)), "the table does not grow by files that say the same")
+	require.Equal(t, f.Reconfigure(newConfigured(2, statusProduct)), f.Reconfigure(newConfigured(2, statusProduct)), "the table does not grow by files that say the same")
 	for id := logic.ServerID(1); id <= 3; id++ {
-		seen, known := f.See(f.now, id)
+		seen, known := f.ServerStatus(f.now, id)
 		require.True(t, known)
-		require.Equal(t, 3, seen.Standing)
+		require.Equal(t, 3, seen.Connections)
 		require.Equal(t, id == 2, seen.State == logic.Draining)
 	}
 	for range 6 {
-		_, id := f.place()
+		_, id := f.establish()
 		require.NotEqual(t, logic.ServerID(2), id)
 	}
 }
 
 func TestWhereOnlyDrainingBindsAGoneServerIsTheLastResort(t *testing.T) {
 	for _, unproven := range []bool{true, false} {
-		f := open(t, 3)
-		f.Retune(logic.New(1, 0, 1, 0, []logic.Product{status}, logic.ByNominalSize, logic.Listing{Unproven: unproven}, logic.ColdRule{},
-			logic.Leave{Dispatches: 5, Advice: sec}, 0.01, 0.02))
-		on := f.fill(12)
-		f.tell(1, logic.Gone, 0)
-		f.tell(2, logic.Draining, 0)
-		f.ListDone(f.now, false)
+		f := newHost(t, 3)
+		f.Reconfigure(logic.New(1, 0, 1, 0, []logic.Product{statusProduct}, logic.WeightNominal, logic.ListConfig{GoneMayBeUp: unproven}, logic.ColdStart{},
+			logic.Permissions{MaxDispatches: 5, MaxRetryAfter: sec}, 0.01, 0.02))
+		on := f.establishMany(12)
+		f.updateServer(1, logic.Gone, 0)
+		f.updateServer(2, logic.Draining, 0)
+		f.EndList(f.now, false)
 		for range 6 {
-			_, id := f.place()
+			_, id := f.establish()
 			require.Equal(t, logic.ServerID(3), id, "one that is listed as ready goes first")
 		}
-		f.errand = nil
-		f.pass(4 * sec)
-		moved := slices.ContainsFunc(f.errand, func(e logic.Errand) bool { return e.Attachment == on[1][0].ID })
+		f.jobs = nil
+		f.advance(4 * sec)
+		moved := slices.ContainsFunc(f.jobs, func(e logic.Job) bool { return e.Attachment == on[1][0].ID })
 		require.Equal(t, !unproven, moved, "who stands at a gone server stays where the list proves nothing")
-		f.tell(2, logic.Gone, 0) // it drained before: that binds
-		f.tell(3, logic.Draining, 0)
-		f.ListDone(f.now, false)
-		ans := f.Where(f.now, f.arrive(0))
+		f.updateServer(2, logic.Gone, 0) // it drained before: that binds
+		f.updateServer(3, logic.Draining, 0)
+		f.EndList(f.now, false)
+		ans := f.ChooseServer(f.now, f.newAttachment(0))
 		if unproven {
 			require.Equal(t, logic.ServerID(1), ans.Server)
 		} else {
-			require.Equal(t, logic.NotYet, ans.Verdict)
+			require.Equal(t, logic.Hold, ans.Action)
 		}
 	}
 }
 
 func TestAServerThatAnswersAgainCountsAsCold(t *testing.T) {
-	f := open(t, 3)
-	f.fill(30)
-	f.pass(10 * sec)
-	down := f.arrive(0)
-	id := f.send(down).Server
+	f := newHost(t, 3)
+	f.establishMany(30)
+	f.advance(10 * sec)
+	down := f.newAttachment(0)
+	id := f.mustSend(down).Server
 	for range 2 { // nothing in the list says so
-		f.After(f.now, down, logic.NoConnection, true)
-		f.pass(4 * sec)
-		down = f.arrive(0)
-		for f.send(down).Server != id {
-			f.Stands(f.now, down)
-			down = f.arrive(0)
+		f.RecordOutcome(f.now, down, logic.NoConnection, true)
+		f.advance(4 * sec)
+		down = f.newAttachment(0)
+		for f.mustSend(down).Server != id {
+			f.RecordEstablished(f.now, down)
+			down = f.newAttachment(0)
 		}
 	}
-	seen, _ := f.See(f.now, id)
+	seen, _ := f.ServerStatus(f.now, id)
 	require.False(t, seen.Cold)
-	f.Stands(f.now, down)
-	seen, _ = f.See(f.now, id)
+	f.RecordEstablished(f.now, down)
+	seen, _ = f.ServerStatus(f.now, id)
 	require.True(t, seen.Cold)
 	back := 0
 	for range 60 {
-		if _, at := f.place(); at == id {
+		if _, at := f.establish(); at == id {
 			back++
 		}
 	}
@@ -609,33 +609,33 @@
 }
 
 func TestASlowWayIsToldFromSlowServers(t *testing.T) {
-	f := open(t, 4)
+	f := newHost(t, 4)
 	zone := map[logic.ServerID]logic.ZoneID{1: 0, 2: 0, 3: 0, 4: 0, 5: 1, 6: 1, 7: 1, 8: 1, 9: 2, 10: 2, 11: 2, 12: 2}
-	f.Retune(logic.New(1, 0, 1, 0, []logic.Product{status}, logic.ByNominalSize, logic.Listing{}, logic.ColdRule{},
-		logic.Leave{Dispatches: 5, Advice: sec}, 0.01, 0.02)) // crossings cost next to nothing: all zones are used
+	f.Reconfigure(logic.New(1, 0, 1, 0, []logic.Product{statusProduct}, logic.WeightNominal, logic.ListConfig{}, logic.ColdStart{},
+		logic.Permissions{MaxDispatches: 5, MaxRetryAfter: sec}, 0.01, 0.02)) // crossings cost next to nothing: all zones are used
 	for id := logic.ServerID(5); id <= 12; id++ {
-		f.Listed(f.now, id, zone[id], 0, logic.CellID(id), logic.Ready, 1, 0)
+		f.UpdateServer(f.now, id, zone[id], 0, logic.CellID(id), logic.Ready, 1, 0)
 	}
-	f.ListDone(f.now, true)
-	on := f.fill(48)
+	f.EndList(f.now, true)
+	on := f.establishMany(48)
 	across := len(on[5]) + len(on[6]) + len(on[7]) + len(on[8])
 	require.Greater(t, across, 6)
-	f.errand = nil
-	f.late(800*ms, 2, 5, 6, 7, 8)
+	f.jobs = nil
+	f.reportDelays(800*ms, 2, 5, 6, 7, 8)
 	for range 24 {
-		a := f.arrive(0)
-		require.NotEqual(t, logic.ZoneID(1), zone[f.send(a).Server], "the way there is slow")
-		f.Stands(f.now, a)
-	}
-	heavy := f.arrive(0)
-	heavy.Hint = 1e9
-	require.Equal(t, logic.Send, f.Where(f.now, heavy).Verdict, "a slow way is no crowd")
-	f.late(800*ms, 4, 5, 6, 7, 8)
-	require.Greater(t, f.count(logic.Move), across*2/3, "those there come home")
-	f.pass(15 * sec)
+		a := f.newAttachment(0)
+		require.NotEqual(t, logic.ZoneID(1), zone[f.mustSend(a).Server], "the way there is slow")
+		f.RecordEstablished(f.now, a)
+	}
+	heavy := f.newAttachment(0)
+	heavy.LoadHint = 1e9
+	require.Equal(t, logic.Send, f.ChooseServer(f.now, heavy).Action, "a slow way is no crowd")
+	f.reportDelays(800*ms, 4, 5, 6, 7, 8)
+	require.Greater(t, f.countJobs(logic.Move), across*2/3, "those there come home")
+	f.advance(15 * sec)
 	back := 0
 	for range 48 {
-		if _, id := f.place(); zone[id] == 1 {
+		if _, id := f.establish(); zone[id] == 1 {
 			back++
 		}
 	}
@@ -643,16 +643,16 @@
 }
 
 func TestOneLateServerIsNoSlowWay(t *testing.T) {
-	f := open(t, 3)
+	f := newHost(t, 3)
 	for id := logic.ServerID(5); id <= 8; id++ {
-		f.Listed(f.now, id, 1, 0, logic.CellID(id), logic.Ready, 1, 0)
+		f.UpdateServer(f.now, id, 1, 0, logic.CellID(id), logic.Ready, 1, 0)
 	}
-	f.ListDone(f.now, true)
-	f.late(200*ms, 2, 1, 2, 3) // the own zone is late: crossings pay
-	f.late(200*ms, 1, 5)
+	f.EndList(f.now, true)
+	f.reportDelays(200*ms, 2, 1, 2, 3) // the own zone is late: crossings pay
+	f.reportDelays(200*ms, 1, 5)
 	across := 0
 	for range 12 {
-		if _, id := f.place(); id > 5 {
+		if _, id := f.establish(); id > 5 {
 			across++
 		}
 	}
@@ -660,41 +660,41 @@
 }
 
 func TestWhoTakesAnInstancesPlaceKnowsWhatItKnew(t *testing.T) {
-	old := open(t, 4)
-	old.fill(8)
-	old.late(400*ms, 3, 2)
-	old.tell(3, logic.Ready, old.now-sec) // cold
-	old.ListDone(old.now, true)
+	old := newHost(t, 4)
+	old.establishMany(8)
+	old.reportDelays(400*ms, 3, 2)
+	old.updateServer(3, logic.Ready, old.now-sec) // cold
+	old.EndList(old.now, true)
 	for range 4 {
-		old.place()
+		old.establish()
 	}
-	bad := old.arrive(0)
-	id := old.send(bad).Server
-	old.After(old.now, bad, logic.Reset, true)
-	told := old.Recall()
+	bad := old.newAttachment(0)
+	id := old.mustSend(bad).Server
+	old.RecordOutcome(old.now, bad, logic.Reset, true)
+	told := old.Snapshot()
 
-	heir := open(t, 4)
+	heir := newHost(t, 4)
 	heir.now = old.now
-	heir.tell(3, logic.Ready, old.now-sec)
-	heir.tell(4, logic.Ready, old.now) // has started again: another server than the one that was known
-	heir.ListDone(heir.now, true)
-	told.Servers = append(told.Servers, logic.ServerMemory{ID: 99}) // in no list here
-	heir.Remember(told)
+	heir.updateServer(3, logic.Ready, old.now-sec)
+	heir.updateServer(4, logic.Ready, old.now) // has started again: another server than the one that was known
+	heir.EndList(heir.now, true)
+	told.Servers = append(told.Servers, logic.ServerHistory{ID: 99}) // in no list here
+	heir.Restore(told)
 	for _, server := range []logic.ServerID{1, 2, 3} {
-		was, _ := old.See(old.now, server)
-		is, _ := heir.See(heir.now, server)
-		require.Equal(t, []any{was.Late, was.Pace, was.Failures, was.Shunned}, []any{is.Late, is.Pace, is.Failures, is.Shunned}, "server %d", server)
-	}
-	is, _ := heir.See(heir.now, id)
-	require.NotZero(t, is.Shunned, "passed over until the same moment")
-	is, _ = heir.See(heir.now, 2)
-	require.Less(t, is.Pace, 1.0)
-	is, _ = heir.See(heir.now, 4)
+		was, _ := old.ServerStatus(old.now, server)
+		is, _ := heir.ServerStatus(heir.now, server)
+		require.Equal(t, []any{was.Late, was.SpeedFactor, was.FailureShare, was.AvoidUntil}, []any{is.Late, is.SpeedFactor, is.FailureShare, is.AvoidUntil}, "server %d", server)
+	}
+	is, _ := heir.ServerStatus(heir.now, id)
+	require.NotZero(t, is.AvoidUntil, "passed over until the same moment")
+	is, _ = heir.ServerStatus(heir.now, 2)
+	require.Less(t, is.SpeedFactor, 1.0)
+	is, _ = heir.ServerStatus(heir.now, 4)
 	require.False(t, is.Late)
-	sent := func(f *fake) (n int) {
-		for _, s := range f.Recall().Servers {
+	sent := func(f *testHost) (n int) {
+		for _, s := range f.Snapshot().Servers {
 			if s.ID == 3 {
-				return len(s.SentAt)
+				return len(s.ColdSendTimes)
 			}
 		}
 		return 0
@@ -703,7 +703,7 @@
 	require.Equal(t, sent(old), sent(heir), "the cold budget is one")
 }
 
-func ids(as []*logic.Attachment) []logic.AttachmentID {
+func attachmentIDs(as []*logic.Attachment) []logic.AttachmentID {
 	var out []logic.AttachmentID
 	for _, a := range as {
 		out = append(out, a.ID)
@@ -712,33 +712,33 @@
 }
 
 func TestClientsAreMovedOffAServerThatDrainsBeforeItStops(t *testing.T) {
-	f := open(t, 3)
-	on := f.fill(30)
-	f.tell(1, logic.Draining, 0)
-	f.ListDone(f.now, false)
+	f := newHost(t, 3)
+	on := f.establishMany(30)
+	f.updateServer(1, logic.Draining, 0)
+	f.EndList(f.now, false)
 	moved := map[logic.AttachmentID]bool{}
 	for range 8 {
-		f.errand = nil
-		f.pass(250 * ms)
-		for _, e := range f.errand {
-			if e.Task == logic.Move {
+		f.jobs = nil
+		f.advance(250 * ms)
+		for _, e := range f.jobs {
+			if e.Kind == logic.Move {
 				moved[e.Attachment] = true
 			}
 		}
 		for _, a := range on[1] {
-			if moved[a.ID] && a.Stands() {
-				f.After(f.now, a, logic.Cancelled, true)
+			if moved[a.ID] && a.IsEstablished() {
+				f.RecordOutcome(f.now, a, logic.Cancelled, true)
 			}
 		}
-		require.LessOrEqual(t, f.count(logic.Move), 3, "they come back spread")
+		require.LessOrEqual(t, f.countJobs(logic.Move), 3, "they come back spread")
 	}
 	require.Len(t, moved, len(on[1]), "all of them, and no others")
 }
 
 // On sockets nothing tells of late messages, and a slow server kept its connections.
 func TestWhereNothingTellsOfLateMessagesAProbeDoes(t *testing.T) {
-	f := open(t, 4)
-	on := f.fill(40)
+	f := newHost(t, 4)
+	on := f.establishMany(40)
 	took := map[logic.ServerID]logic.Micros{1: 500, 2: 500, 3: 500, 4: 900}
 	probes := 0
 	for second := range 12 {
@@ -750,13 +750,13 @@
 		} else {
 			took[2] = 500
 		}
-		f.errand = nil
-		f.pass(sec)
-		for _, e := range f.errand {
-			switch e.Task {
+		f.jobs = nil
+		f.advance(sec)
+		for _, e := range f.jobs {
+			switch e.Kind {
 			case logic.Probe:
 				probes++
-				f.Probed(f.now, e.Server, took[e.Server])
+				f.RecordProbe(f.now, e.Server, took[e.Server])
 			case logic.Move:
 				require.True(t, slices.ContainsFunc(on[1], func(a *logic.Attachment) bool { return a.ID == e.Attachment }),
 					"only where answers take longer than they did")
@@ -764,89 +764,89 @@
 		}
 	}
 	require.Equal(t, 48, probes, "one a second for each server")
-	require.Less(t, len(f.fill(12)[1]), 2)
+	require.Less(t, len(f.establishMany(12)[1]), 2)
 }
 
 // A second passed until a second slow answer: full servers went on filling, and dropped what they had.
 func TestASingleSlowAnswerIsBelievedAtHome(t *testing.T) {
-	f := open(t, 2)
-	f.fill(20)
-	f.Probed(f.now, 1, 500)
-	f.Probed(f.now, 1, 1500)
-	require.Less(t, len(f.fill(10)[1]), 4)
+	f := newHost(t, 2)
+	f.establishMany(20)
+	f.RecordProbe(f.now, 1, 500)
+	f.RecordProbe(f.now, 1, 1500)
+	require.Less(t, len(f.establishMany(10)[1]), 4)
 }
 
 // A client that was sent off a late server came back to it, for its group's home: it was sent off again.
 func TestWhoComesBackIsNotSentToALateServerWhileAnotherIsWell(t *testing.T) {
-	f := open(t, 3)
+	f := newHost(t, 3)
 	home := logic.ServerID(0)
 	for range 12 {
-		a := f.arrive(0)
+		a := f.newAttachment(0)
 		a.Group = 7
-		home = f.send(a).Server
-		f.Stands(f.now, a)
+		home = f.mustSend(a).Server
+		f.RecordEstablished(f.now, a)
 	}
-	f.late(100*ms, 1, home)
+	f.reportDelays(100*ms, 1, home)
 	for range 5 {
-		a := f.arrive(0)
-		a.Group, a.Back = 7, true
-		require.NotEqual(t, home, f.send(a).Server)
-		f.After(f.now, a, logic.NoConnection, true)
+		a := f.newAttachment(0)
+		a.Group, a.Returning = 7, true
+		require.NotEqual(t, home, f.mustSend(a).Server)
+		f.RecordOutcome(f.now, a, logic.NoConnection, true)
 	}
 }
 
 // A proxy that knew two servers took one late one for a crowd, and pushed clients back while others stood idle.
 func TestOneLateServerIsNoCrowdHoweverFewAreKnown(t *testing.T) {
-	f := open(t, 5)
-	f.place()
-	_, id := f.place()
-	f.late(400*ms, 3, id)
+	f := newHost(t, 5)
+	f.establish()
+	_, id := f.establish()
+	f.reportDelays(400*ms, 3, id)
 	for range 5 {
-		a := f.arrive(0)
-		a.Back = true // counts as heavy
-		f.send(a)
-		f.After(f.now, a, logic.NoConnection, true)
+		a := f.newAttachment(0)
+		a.Returning = true // counts as heavy
+		f.mustSend(a)
+		f.RecordOutcome(f.now, a, logic.NoConnection, true)
 	}
 }
 
 // Where weights are rough they hide slow models: three seconds of lateness passed before load went elsewhere.
 func TestWhereWeightsAreRoughALateServerFallsBehindFaster(t *testing.T) {
-	drawn := map[logic.Weighing]int{}
-	for _, weighing := range []logic.Weighing{logic.ByNominalSize, logic.ByRoughSize} {
-		f := openWeighed(t, 1, 1, 2, weighing)
-		on := f.fill(40)
-		f.late(100*ms, 3, 1)
-		f.pass(6 * sec)
+	drawn := map[logic.WeightKind]int{}
+	for _, weighing := range []logic.WeightKind{logic.WeightNominal, logic.WeightRough} {
+		f := newWeightedHost(t, 1, 1, 2, weighing)
+		on := f.establishMany(40)
+		f.reportDelays(100*ms, 3, 1)
+		f.advance(6 * sec)
 		for range 20 {
-			a, id := f.place()
+			a, id := f.establish()
 			on[id] = append(on[id], a)
 		}
 		drawn[weighing] = len(on[1])
 	}
-	require.Less(t, drawn[logic.ByRoughSize]+3, drawn[logic.ByNominalSize])
+	require.Less(t, drawn[logic.WeightRough]+3, drawn[logic.WeightNominal])
 }
 
-// reports has all servers report their fill for three seconds, so that it is believed and counted.
-func (f *fake) reports(fills map[logic.ServerID]float64) {
+// reportUtilization has all servers report their fill for three seconds, so that it is believed and counted.
+func (f *testHost) reportUtilization(fills map[logic.ServerID]float64) {
 	for range 12 {
 		for id := logic.ServerID(1); int(id) <= len(fills); id++ {
-			f.Reported(f.now, id, fills[id])
+			f.RecordUtilization(f.now, id, fills[id])
 		}
-		f.pass(250 * ms)
+		f.advance(250 * ms)
 	}
 }
 
 // A proxy among many: its own counts are equal while the others have filled one server.
 func TestAFullServerIsKnownByItsReportWhereOwnCountsAreEqual(t *testing.T) {
-	f := open(t, 4)
-	f.HearReports()
-	f.fill(40)
-	f.reports(map[logic.ServerID]float64{1: 0.9, 2: 0.3, 3: 0.6, 4: 0.6})
-	on := f.fill(12)
+	f := newHost(t, 4)
+	f.EnableUtilizationProbes()
+	f.establishMany(40)
+	f.reportUtilization(map[logic.ServerID]float64{1: 0.9, 2: 0.3, 3: 0.6, 4: 0.6})
+	on := f.establishMany(12)
 	require.Empty(t, on[1])
 	require.Greater(t, len(on[2]), 6)
-	f.pass(13 * sec)
-	on = f.fill(8)
+	f.advance(13 * sec)
+	on = f.establishMany(8)
 	require.NotEmpty(t, on[1], "reports have grown old, and own counts decide")
 }
 
@@ -854,13 +854,13 @@
 func TestAColdServersReportCountsHalf(t *testing.T) {
 	drawn := 0
 	for seed := range int64(20) {
-		f := openSeeded(t, seed+1, 1, 4)
-		f.HearReports()
-		f.fill(20)
-		f.tell(5, logic.Ready, f.now-2*sec)
-		f.ListDone(f.now, false)
-		f.reports(map[logic.ServerID]float64{1: 0.6, 2: 0.6, 3: 0.6, 4: 0.6, 5: 0.01})
-		drawn += len(f.fill(8)[5])
+		f := newSeededHost(t, seed+1, 1, 4)
+		f.EnableUtilizationProbes()
+		f.establishMany(20)
+		f.updateServer(5, logic.Ready, f.now-2*sec)
+		f.EndList(f.now, false)
+		f.reportUtilization(map[logic.ServerID]float64{1: 0.6, 2: 0.6, 3: 0.6, 4: 0.6, 5: 0.01})
+		drawn += len(f.establishMany(8)[5])
 	}
 	require.Less(t, drawn, 90, "of 160; 100 where its report counts in full")
 }
@@ -878,20 +878,20 @@
 		"below nothing":   {-1, false, 0, 6},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := open(t, 4)
-			f.HearReports()
-			f.fill(40)
-			f.reports(map[logic.ServerID]float64{1: 0.5, 2: 0.5, 3: 0.5, 4: 0.5})
+			f := newHost(t, 4)
+			f.EnableUtilizationProbes()
+			f.establishMany(40)
+			f.reportUtilization(map[logic.ServerID]float64{1: 0.5, 2: 0.5, 3: 0.5, 4: 0.5})
 			for range 8 {
 				if c.late {
-					f.Delay(f.now, 1, 200*ms)
+					f.RecordDelay(f.now, 1, 200*ms)
 				}
 				for id, told := range []float64{c.told, 0.5, 0.5, 0.5} {
-					f.Reported(f.now, logic.ServerID(id+1), told)
+					f.RecordUtilization(f.now, logic.ServerID(id+1), told)
 				}
-				f.pass(sec)
+				f.advance(sec)
 			}
-			n := len(f.fill(20)[1])
+			n := len(f.establishMany(20)[1])
 			require.GreaterOrEqual(t, n, c.least)
 			require.LessOrEqual(t, n, c.most)
 		})
@@ -899,45 +899,45 @@
 }
 
 func TestServersAreAskedInTurnAsFarAsConnectionsPay(t *testing.T) {
-	open := func(weighing logic.Weighing, reports bool) *fake {
-		f := openWeighed(t, 1, 1, 6, weighing)
+	open := func(weighing logic.WeightKind, reports bool) *testHost {
+		f := newWeightedHost(t, 1, 1, 6, weighing)
 		if reports {
-			f.HearReports()
+			f.EnableUtilizationProbes()
 		}
-		f.Retune(logic.New(1, 1, 1, 0, []logic.Product{status}, weighing, logic.Listing{}, logic.ColdRule{}, logic.Leave{Dispatches: 5}, 0.2, 0.01))
-		f.fill(8) // two probes each
+		f.Reconfigure(logic.New(1, 1, 1, 0, []logic.Product{statusProduct}, weighing, logic.ListConfig{}, logic.ColdStart{}, logic.Permissions{MaxDispatches: 5}, 0.2, 0.01))
+		f.establishMany(8) // two probes each
 		return f
 	}
-	asked := func(f *fake) map[logic.ServerID]int {
-		f.errand = nil
-		f.pass(10 * sec)
+	asked := func(f *testHost) map[logic.ServerID]int {
+		f.jobs = nil
+		f.advance(10 * sec)
 		n := map[logic.ServerID]int{}
-		for _, e := range f.errand {
-			if e.Task == logic.Probe {
+		for _, e := range f.jobs {
+			if e.Kind == logic.Probe {
 				n[e.Server]++
 			}
 		}
 		return n
 	}
-	n := asked(open(logic.ByNominalSize, true))
+	n := asked(open(logic.WeightNominal, true))
 	require.Equal(t, map[logic.ServerID]int{1: 2, 2: 3, 3: 3, 4: 3, 5: 3, 6: 2}, n)
-	require.Empty(t, asked(open(logic.ByNominalSize, false)), "nobody would pass the reports on")
-	require.Empty(t, asked(open(logic.ByLiveShare, true)), "the list's weights tell the same")
+	require.Empty(t, asked(open(logic.WeightNominal, false)), "nobody would pass the reports on")
+	require.Empty(t, asked(open(logic.WeightLive, true)), "the list's weights tell the same")
 }
 
 // A fleet whose settings promise words on late messages and whose servers send none: 300 proxies saw no server late.
 func TestServersAreProbedUntilDelaysAreHeard(t *testing.T) {
-	f := open(t, 2)
-	f.fill(4)
+	f := newHost(t, 2)
+	f.establishMany(4)
 	probed := func() bool {
-		f.errand = nil
-		f.pass(2 * sec)
-		return slices.ContainsFunc(f.errand, func(e logic.Errand) bool { return e.Task == logic.Probe })
+		f.jobs = nil
+		f.advance(2 * sec)
+		return slices.ContainsFunc(f.jobs, func(e logic.Job) bool { return e.Kind == logic.Probe })
 	}
 	require.True(t, probed())
-	f.HearDelays(true)
+	f.SetDelaysReported(true)
 	require.False(t, probed(), "the same word twice is paid for twice")
-	f.HearDelays(false)
+	f.SetDelaysReported(false)
 	require.True(t, probed())
 }
 
@@ -946,11 +946,11 @@
 func TestWhereLittleIsKnownAGroupKeepsToItsFirstServers(t *testing.T) {
 	first := map[logic.ServerID]int{}
 	for seed := range int64(100) {
-		f := openSeeded(t, seed+1, 300, 90)
-		f.fill(3)
-		a := f.arrive(0)
+		f := newSeededHost(t, seed+1, 300, 90)
+		f.establishMany(3)
+		a := f.newAttachment(0)
 		a.Group = 7
-		first[f.send(a).Server]++
+		first[f.mustSend(a).Server]++
 	}
 	most := 0
 	for _, n := range first {
@@ -962,19 +962,19 @@
 // A server piles up more than it can do and drops its newest clients; nothing else tells that its messages are late. Each
 // came again within a tenth of a second, was sent back, since that server is its group's home, and was dropped again.
 func TestWhomAServerDroppedIsNotSentBackToIt(t *testing.T) {
-	f := openSeeded(t, 1, 300, 8)
+	f := newSeededHost(t, 1, 300, 8)
 	member := func(back bool) *logic.Attachment {
-		a := f.arrive(0)
-		a.Group, a.Back = 7, back
+		a := f.newAttachment(0)
+		a.Group, a.Returning = 7, back
 		return a
 	}
 	first := member(false)
-	home := f.send(first).Server
-	f.Stands(f.now, first)
-	f.After(f.now, first, logic.Reset, true)
-	f.pass(2 * sec) // longer than one that fails is passed over
+	home := f.mustSend(first).Server
+	f.RecordEstablished(f.now, first)
+	f.RecordOutcome(f.now, first, logic.Reset, true)
+	f.advance(2 * sec) // longer than one that fails is passed over
 	returned := member(true)
-	require.NotEqual(t, home, f.send(returned).Server)
-	f.pass(10 * sec)
-	require.Equal(t, home, f.send(member(true)).Server, "that is forgotten: the group's home is the best place again")
+	require.NotEqual(t, home, f.mustSend(returned).Server)
+	f.advance(10 * sec)
+	require.Equal(t, home, f.mustSend(member(true)).Server, "that is forgotten: the group's home is the best place again")
 }
--- a/logic/types.go
+++ b/logic/types.go
@@ -19,22 +19,22 @@
 	ClientKey    uint64
 )
 
-// Repeat says what a second run of a product would do.
-type Repeat uint8
+// Idempotency says what a second run of a product would do.
+type Idempotency uint8
 
 const (
-	Harmless Repeat = iota
+	Harmless Idempotency = iota
 	Stamped
 	OneShot
 )
 
-// Reach is the set of servers that drops the repeats of a stamped product.
-type Reach uint8
+// DedupScope is the set of servers that drops the repeats of a stamped product.
+type DedupScope uint8
 
 const (
-	ReachAll Reach = iota
-	ReachZone
-	ReachCell
+	DedupAll DedupScope = iota
+	DedupZone
+	DedupCell
 )
 
 // State is what the server list says of a server.
@@ -57,7 +57,7 @@
 	NoConnection
 	Reset
 	Cancelled
-	Moot
+	NotSent
 )
 
 var outcomeNames = [...]string{"ok", "failure", "full", "timed-out", "no-connection", "reset", "cancelled", "moot"}
@@ -65,109 +65,109 @@
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // NeverRan tells the outcomes that prove that a dispatch had no effect.
-func (o Outcome) NeverRan() bool { return o == Full || o == NoConnection || o == Moot }
+func (o Outcome) NeverRan() bool { return o == Full || o == NoConnection || o == NotSent }
 
-// Weighing says what a weight in the list stands for.
-type Weighing uint8
+// WeightKind says what a weight in the list stands for.
+type WeightKind uint8
 
 const (
-	Unweighed Weighing = iota
-	ByNominalSize
-	ByRoughSize
-	ByLiveShare
+	WeightNone WeightKind = iota
+	WeightNominal
+	WeightRough
+	WeightLive
 )
 
-// Listing says how the server list is followed. Silence for the span Within counts as being informed.
-type Listing struct {
-	Subscribe bool
-	Within    Micros
-	Unproven  bool // only draining binds: a server that is listed as gone, or left out, may be up all the same
+// ListConfig says how the server list is followed. Silence for the span Within counts as being informed.
+type ListConfig struct {
+	Subscribe   bool
+	AskWithin   Micros
+	GoneMayBeUp bool // only draining binds: a server that is listed as gone, or left out, may be up all the same
 }
 
-// ColdRule is the rule on servers that have just started: their capacity then, as a share, when they are
+// ColdStart is the rule on servers that have just started: their capacity then, as a share, when they are
 // warm, and that they fall over where sent more than Multiple times what they can do for the span Window.
-type ColdRule struct {
-	Start, Multiple float64
-	Warm, Window    Micros
+type ColdStart struct {
+	InitialShare, OverloadMultiple float64
+	WarmupTime, OverloadWindow     Micros
 }
 
-// Leave is what the deployment permits.
-type Leave struct {
-	Dispatches int    // for each product that says nothing else
-	Advice     Micros // a push back may ask the client to stay away for up to this
-	Through    bool   // packets pass through: connections outlive their proxy
-	Probes     bool   // servers may be probed; they are while nothing else tells of late messages
+// Permissions is what the deployment permits.
+type Permissions struct {
+	MaxDispatches int    // for each product that says nothing else
+	MaxRetryAfter Micros // a push back may ask the client to stay away for up to this
+	PassThrough   bool   // packets pass through: connections outlive their proxy
+	AllowProbes   bool   // servers may be probed; they are while nothing else tells of late messages
 }
 
-// Memory is what an instance knows, for the one that takes its place on the same clock.
-type Memory struct {
-	Servers []ServerMemory
-	Setup   Follow     `json:"Setup"`
-	Unit    Follow     `json:"Unit"`
-	Crowd   float64    `json:"Crowd"`
-	Home    float64    `json:"Home"`
-	Rate    float64    `json:"Rate"`
-	Stood   Micros     `json:"Stood"`
-	Failing []ServerID `json:"Failing"`
+// Snapshot is what an instance knows, for the one that takes its place on the same clock.
+type Snapshot struct {
+	Servers         []ServerHistory
+	SetupTime       Estimate   `json:"Setup"`
+	ConnectionLoad  Estimate   `json:"Unit"`
+	UnhealthyShare  float64    `json:"Crowd"`
+	OwnZoneTrouble  float64    `json:"Home"`
+	PlacementRate   float64    `json:"Rate"`
+	LastEstablished Micros     `json:"Stood"`
+	FailingServers  []ServerID `json:"Failing"`
 }
 
-// Follow is a followed quantity's mean and mean deviation; Seen is false where there is none yet.
-type Follow struct {
-	Mean   float64
-	Spread float64 `json:"Spread"`
-	Seen   bool    `json:"Seen"`
+// Estimate is a followed quantity's mean and mean deviation; Seen is false where there is none yet.
+type Estimate struct {
+	Mean       float64
+	Deviation  float64 `json:"Spread"`
+	HasSamples bool    `json:"Seen"`
 }
 
-// ServerMemory is the account of one server as an instance sees it.
-type ServerMemory struct {
-	ID        ServerID
-	Launched  Micros    `json:"Launched"`
-	Tries     float64   `json:"Tries"`
-	Fails     float64   `json:"Fails"`
-	Shunned   Micros    `json:"Shunned"` // passed over until then, for its failures or what it dropped
-	Pace      float64   `json:"Pace"`    // what it is seen to do against its weight; 1 at first
-	Delay     Micros    `json:"Delay"`
-	DelayAt   Micros    `json:"DelayAt"`
-	Falling   bool      `json:"Falling"`
-	ProbeAt   Micros    `json:"ProbeAt"`
-	Quick     Micros    `json:"Quick"`
-	Probed    Micros    `json:"Probed"`    // its next probe; its quickest and its last answer to one
-	Chance    float64   `json:"Chance"`    // settles fractions of a connection in the cold budget
-	Drawn     Micros    `json:"Drawn"`     // when that was drawn
-	SentAt    []Micros  `json:"SentAt"`    // sends while cold
-	SentUnits []float64 `json:"SentUnits"` // their loads
+// ServerHistory is the account of one server as an instance sees it.
+type ServerHistory struct {
+	ID             ServerID
+	LaunchedAt     Micros    `json:"Launched"`
+	Attempts       float64   `json:"Tries"`
+	Failures       float64   `json:"Fails"`
+	AvoidUntil     Micros    `json:"Shunned"` // passed over until then, for its failures or what it dropped
+	SpeedFactor    float64   `json:"Pace"`    // what it is seen to do against its weight; 1 at first
+	MessageDelay   Micros    `json:"Delay"`
+	MessageDelayAt Micros    `json:"DelayAt"`
+	DelayFalling   bool      `json:"Falling"`
+	NextProbeAt    Micros    `json:"ProbeAt"`
+	FastestProbe   Micros    `json:"Quick"`
+	LastProbe      Micros    `json:"Probed"`    // its next probe; its quickest and its last answer to one
+	ColdDraw       float64   `json:"Chance"`    // settles fractions of a connection in the cold budget
+	ColdDrawAt     Micros    `json:"Drawn"`     // when that was drawn
+	ColdSendTimes  []Micros  `json:"SentAt"`    // sends while cold
+	ColdSendUnits  []float64 `json:"SentUnits"` // their loads
 }
 
-// Verdict is what is to be done with an attachment.
-type Verdict uint8
+// Action is what is to be done with an attachment.
+type Action uint8
 
 const (
-	Nothing  Verdict = iota
-	Send             // to Answer.Server, for at most Answer.For
-	NotYet           // ask again in Answer.For
-	PushBack         // tell the client that trying again is harmless, in Answer.For if that is not 0
+	NoAction Action = iota
+	Send            // to Answer.Server, for at most Answer.For
+	Hold            // ask again in Answer.For
+	PushBack        // tell the client that trying again is harmless, in Answer.For if that is not 0
 	GiveUp
 )
 
-// Answer is a verdict with its plain values.
-type Answer struct {
-	Verdict Verdict
-	Server  ServerID
-	For     Micros
+// Decision is a verdict with its plain values.
+type Decision struct {
+	Action   Action
+	Server   ServerID
+	Duration Micros
 }
 
-// Errand is a periodic piece of work for the host.
-type Errand struct {
-	Task       Task
+// Job is a periodic piece of work for the host.
+type Job struct {
+	Kind       JobKind
 	Attachment AttachmentID
 	Server     ServerID
-	Words      string
+	Message    string
 }
 
-type Task uint8
+type JobKind uint8
 
 const (
-	Subscribe Task = iota
+	Subscribe JobKind = iota
 	Move
 	Probe
 	Log
@@ -175,42 +175,42 @@
 
 // Product is one row of the table of products.
 type Product struct {
-	Quoted  Micros // a set-up within this earns the full gain
-	Repeat  Repeat
-	Reach   Reach
-	Memory  Micros // how long a stamp is remembered
-	Message Micros // quoted time of a message on a standing connection
-	Gain    float64
-	ByWork  bool // the gain is for each unit of load, not for each attachment
-
-	Dispatches int // the most for an attachment
+	QuotedTime        Micros // a set-up within this earns the full gain
+	Idempotency       Idempotency
+	DedupScope        DedupScope
+	DedupWindow       Micros // how long a stamp is remembered
+	QuotedMessageTime Micros // quoted time of a message on a standing connection
+	Gain              float64
+	GainPerLoad       bool // the gain is for each unit of load, not for each attachment
+
+	MaxDispatches int // the most for an attachment
 }
 
 // Attachment is a client's connection. The host keeps it; the fields below the gap are the module's notes.
 type Attachment struct {
-	ID      AttachmentID
-	Product ProductID
-	Group   GroupID
-	Key     ClientKey
-	Hint    float64 // expected load in microseconds of work a second; 0 if none
-	MidFlow bool    // packets of an open connection
-	Back    bool    // the client comes again after a break or a move
-	Came    Micros
-	Limit   Micros // the hard limit
-
-	on       *server // where the dispatch is out or the connection stands
-	last     *server // where it was sent last
-	sentAt   Micros
-	stands   bool
-	sends    int
-	units    float64 // its load in mean connections, as counted on its server
-	level    float64 // its load as last told, microseconds a second
-	ran      *server // the first server on which it may have run
-	ranSince Micros
+	ID        AttachmentID
+	Product   ProductID
+	Group     GroupID
+	Key       ClientKey
+	LoadHint  float64 // expected load in microseconds of work a second; 0 if none
+	MidFlow   bool    // packets of an open connection
+	Returning bool    // the client comes again after a break or a move
+	ArrivedAt Micros
+	HardLimit Micros // the hard limit
+
+	server          *server // where the dispatch is out or the connection stands
+	lastServer      *server // where it was sent last
+	sentAt          Micros
+	established     bool
+	dispatches      int
+	loadUnits       float64 // its load in mean connections, as counted on its server
+	reportedLoad    float64 // its load as last told, microseconds a second
+	mayHaveRunOn    *server // the first server on which it may have run
+	mayHaveRunSince Micros
 }
 
-// Stands tells whether the connection is set up.
-func (a *Attachment) Stands() bool { return a.stands }
+// IsEstablished tells whether the connection is set up.
+func (a *Attachment) IsEstablished() bool { return a.established }
 
-// Out tells whether a dispatch is on its way.
-func (a *Attachment) Out() bool { return a.on != nil && !a.stands }
+// IsPending tells whether a dispatch is on its way.
+func (a *Attachment) IsPending() bool { return a.server != nil && !a.established }
