--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,6 +1,12 @@
-// Package logic holds all decisions of hatchproxy. A host keeps the attachments and the timers. It asks Where
-// to send an attachment, what to do After an outcome, how long to Wait, with the errands due. All other calls
-// tell facts. The plain values stand in types.go. An instance shares nothing with any other.
+// Package logic makes the load-balancing decisions of hatchproxy: which server an attachment is sent to, how long a dispatch
+// may take, when it is repeated, pushed back or given up, and which connections are moved.
+//
+// A host keeps the attachments and the timers. It calls ChooseServer for a new attachment, RecordOutcome when a dispatch or
+// a connection ends, and Tick for the periodic work. All other methods report events or settings. The package reads no
+// clock and does no I/O; an instance shares no state with any other and is not safe for concurrent use. The plain types are
+// in types.go.
+//
+// Loads are counted in units: one unit is the load of a mean connection.
 package logic
 
 import (
@@ -11,114 +17,118 @@
 	"slices"
 )
 
-// Balancer is one instance of the decisions.
+// Balancer makes the decisions of one proxy.
 type Balancer struct {
 	zone                      ZoneID
 	rng                       *rand.Rand
-	products                  []Product   // only ever grows: an attachment keeps the row under which it began
-	activeProducts            []ProductID // to new attachments
+	products                  []Product   // append-only: an attachment keeps the row that it began with
+	activeProducts            []ProductID // rows that new attachments may use
 	listConfig                ListConfig
 	subscription              subscription
 	coldStart                 ColdStart
 	permissions               Permissions
-	crossZonePrice, movePrice float64 // the prices of a crossing and a move, in parts of an attachment's gain
+	crossZonePrice, movePrice float64 // prices of sending across zones and of a move, as fractions of an attachment's gain
 	weightKind                WeightKind
-	proxyCount                float64 // instances that place on the same servers, this one included
+	proxyCount                float64 // proxies that place on the same servers, this one included
 
 	servers                           []*server // in the order of the list
 	serversByID                       map[ServerID]*server
-	scanStart                         int        // rotating start of the scan, at first the own index
-	pendingDispatches, readyServers   int        // dispatches out; ready servers
-	meanWeight                        float64    // their mean weight
-	setupTime, connectionLoad         estimator  // time of a set-up; load of a connection, microseconds a second
-	unhealthyShare                    float64    // share of the known servers that are late or passed over, at most; wearing off
-	ownZoneTrouble                    float64    // the same of the own zone, 1 from a quarter on, wearing off more slowly
-	zonePaths                         []zonePath // to the zones, by their numbers
-	meanGainPerUnit                   float64    // mean gain of a unit of load
-	loggedConditions                  [2]bool
-	placementRate, placedUnits        float64
-	serverByClient                    map[ClientKey]ServerID
-	ownConnections                    int             // connections
-	groupMembers                      map[GroupID]int // those of each group
+	scanStart                         int                    // where the next scan of the servers starts; at first the proxy's index
+	pendingDispatches, readyServers   int                    // dispatches without an outcome; servers in state Ready
+	meanWeight                        float64                // of the ready servers
+	setupTime, connectionLoad         estimator              // microseconds; microseconds of work per second
+	unhealthyShare                    float64                // decaying maximum of the share of known servers that are late or avoided
+	ownZoneTrouble                    float64                // the same for the own zone, 1 from a quarter on; decays more slowly
+	zonePaths                         []zonePath             // by ZoneID
+	meanGainPerUnit                   float64                // mean gain of a load unit on established connections
+	loggedConditions                  [2]bool                // the conditions that were last logged
+	placementRate, placedUnits        float64                // load units set up per second and ready server, smoothed; since the last tick
+	serverByClient                    map[ClientKey]ServerID // used in pass-through mode only
+	ownConnections                    int                    // attachments on servers, pending ones included
+	groupMembers                      map[GroupID]int        // those of each group
 	models                            map[ModelID]*modelStats
-	clientLoads                       map[ClientKey]float64 // of clients that may come again
-	lastEstablished, nextTickAt       Micros                // when a set-up stood last; when the timer is due
-	failingServers                    []ServerID            // servers on which a set-up failed since the last that stood
-	failureShares                     []float64
-	jobs                              []Job
-	probesUtilization, delaysReported bool    // answers to probes tell a server's fill; late messages are told of
-	meanUtilization, unitsPerCapacity float64 // means of fresh reports, and of own units per size there; 0 if there are few
-	lastProbedIndex, probeCredit      int     // the last server asked for its fill; probes that connections have paid for
+	clientLoads                       map[ClientKey]float64 // last reported loads, for clients that come back
+	lastEstablished, nextTickAt       Micros                // time of the last successful set-up; of the next periodic work
+	failingServers                    []ServerID            // servers where set-ups failed; each successful set-up removes one
+	failureShares                     []float64             // buffer of medianFailureShare
+	jobs                              []Job                 // buffer of Tick
+	probesUtilization, delaysReported bool                  // answers to probes carry utilization; servers report delays
+	meanUtilization, unitsPerCapacity float64               // means over fresh reports, the latter of own units; 0 if reports are few
+	lastProbedIndex, probeCredit      int                   // last server probed for utilization; probes that connections have paid for
 }
 
-// modelStats sums up what is known of the servers of a model.
+// modelStats sums up the known servers of a model.
 type modelStats struct{ speedSum, serverCount float64 }
 
-// zonePath sums up how the servers of a zone look from here.
+// zonePath sums up the known servers of a zone as seen from this proxy. Slowness is 1 when the path to the zone has just
+// been found slow, and decays.
 type zonePath struct{ servers, unhealthy, slowness float64 }
 
-// subscription is the state of the calls for the list.
+// subscription is the state of the requests for the server list.
 type subscription struct {
-	readingFullList, requestPending, active bool // a whole list is being told; a call is out; the subscription stands
-	outdated                                bool // what has changed counts as told by now, and was not heard
+	readingFullList, requestPending, active bool // between BeginFullList and EndList; not yet answered; established
+	outdated                                bool // changes that were not received already count as delivered
 	nextRequestAt                           Micros
-	failures                                int
+	failures                                int // failed requests since the last answer
 }
 
+// server is one server with the load that this proxy has put on it.
 type server struct {
-	ServerHistory       // the account of it as this instance sees it, which the next one takes over
+	ServerHistory       // handed to the next instance
 	zone                ZoneID
 	model               *modelStats
 	cell                CellID
 	state               State
 	weight              float64
-	recoveredAt         Micros // when it was last seen to have come back from where it answered nothing
-	setupFailures       int    // set-ups that failed there since one stood
-	listed, wasDraining bool   // in the whole list being told; it was listed as draining since it was ready last
+	recoveredAt         Micros // when it was last seen to answer again after it had been down
+	setupFailures       int    // failed set-ups since the last successful one
+	listed, wasDraining bool   // seen in the full list that is being read; listed as draining since it was last ready
 
-	connections           []*Attachment
-	pending               []*Attachment // dispatches out, oldest first
-	loadUnits, startUnits float64       // load of both, in mean connections; starting count, wearing off
+	connections           []*Attachment // established
+	pending               []*Attachment // dispatches without an outcome, oldest first
+	loadUnits, startUnits float64       // load of both; extra load counted after a start, decaying
 	groupMembers          map[GroupID]int
 
-	// Its last report: load over what it can do, own units then, how far it is believed, when it came.
+	// The last utilization report: load over capacity, own load units at that time, trust from 0 to 1, time of the report.
 	utilization, utilizationUnits, utilizationTrust float64
 	utilizationAt                                   Micros
 }
 
-// estimator follows a quantity's mean and mean deviation.
+// estimator tracks the smoothed mean and mean deviation of a quantity.
 type estimator Estimate
 
-// add weighs a new sample with 1/8 and its deviation with 1/4, as TCP's timer does.
-func (p *estimator) add(x float64) {
-	if !p.HasSamples {
-		p.Mean, p.Deviation, p.HasSamples = x, x/2, true
+// add gives a new sample a weight of 1/8 and its deviation one of 1/4, as TCP's retransmission timer does.
+func (e *estimator) add(x float64) {
+	if !e.HasSamples {
+		e.Mean, e.Deviation, e.HasSamples = x, x/2, true
 		return
 	}
-	p.Deviation += (math.Abs(x-p.Mean) - p.Deviation) / 4
-	p.Mean += (x - p.Mean) / 8
+	e.Deviation += (math.Abs(x-e.Mean) - e.Deviation) / 4
+	e.Mean += (x - e.Mean) / 8
 }
 
-// New starts an instance. Each part brings its own few figures.
-func New(seed int64, number, proxies int, zone ZoneID, products []Product, weighing WeightKind,
-	list ListConfig, cold ColdStart, leave Permissions, crossing, moving float64) *Balancer {
+// New returns a Balancer for a proxy in the given zone. proxies is the number of proxies that place on the same servers,
+// proxyIndex the index of this one among them, and seed that of its random source. The prices are fractions of an
+// attachment's gain.
+func New(seed int64, proxyIndex, proxies int, zone ZoneID, products []Product, weightKind WeightKind,
+	listConfig ListConfig, coldStart ColdStart, permissions Permissions, crossZonePrice, movePrice float64) *Balancer {
 	b := &Balancer{
 		zone: zone, rng: rand.New(rand.NewSource(seed)),
-		weightKind: weighing, listConfig: list, coldStart: cold, permissions: leave,
-		crossZonePrice: crossing, movePrice: moving, proxyCount: float64(max(proxies, 1)), scanStart: number, meanWeight: 1,
+		weightKind: weightKind, listConfig: listConfig, coldStart: coldStart, permissions: permissions,
+		crossZonePrice: crossZonePrice, movePrice: movePrice, proxyCount: float64(max(proxies, 1)), scanStart: proxyIndex, meanWeight: 1,
 		serversByID: map[ServerID]*server{}, serverByClient: map[ClientKey]ServerID{},
 		clientLoads: map[ClientKey]float64{}, groupMembers: map[GroupID]int{}, models: map[ModelID]*modelStats{},
 	}
 	for _, p := range products {
-		p.MaxDispatches = cmp.Or(p.MaxDispatches, leave.MaxDispatches)
+		p.MaxDispatches = cmp.Or(p.MaxDispatches, permissions.MaxDispatches)
 		b.products = append(b.products, p)
 		b.activeProducts = append(b.activeProducts, ProductID(len(b.activeProducts)))
 	}
 	return b
 }
 
-// Reconfigure takes over the figures of a new instance and returns the numbers of its products here. What is known
-// is kept, and so are the rules that what is in hand began with.
+// Reconfigure adopts the configuration of fresh and returns the rows that its products have here. What b has learned is
+// kept, and attachments in progress keep the rules that they began with.
 func (b *Balancer) Reconfigure(fresh *Balancer) []ProductID {
 	b.listConfig, b.coldStart, b.permissions, b.weightKind = fresh.listConfig, fresh.coldStart, fresh.permissions, fresh.weightKind
 	b.crossZonePrice, b.movePrice = fresh.crossZonePrice, fresh.movePrice
@@ -133,15 +143,15 @@
 	return b.activeProducts
 }
 
-// Idempotency is what a second run of a product would do.
+// Idempotency returns what happens if a request of product p runs twice.
 func (b *Balancer) Idempotency(p ProductID) Idempotency { return b.products[p].Idempotency }
 
-// HasProduct tells whether the table of products holds this one.
+// HasProduct reports whether the product table has row p.
 func (b *Balancer) HasProduct(p ProductID) bool { return int(p) < len(b.products) }
 
-// ---- the list
+// ---- server list
 
-// BeginFullList announces a complete list: what is not named before ListDone is gone.
+// BeginFullList begins a complete list: servers that are not named before EndList are gone.
 func (b *Balancer) BeginFullList(now Micros) {
 	b.subscription.readingFullList = true
 	for _, s := range b.servers {
@@ -149,9 +159,10 @@
 	}
 }
 
-// UpdateServer tells one entry of the list.
+// UpdateServer applies one entry of the server list. A weight of 0 or less counts as 1. launchedAt is when the server
+// started, 0 if unknown.
 func (b *Balancer) UpdateServer(now Micros, id ServerID, zone ZoneID, model ModelID, cell CellID, state State,
-	weight float64, launched Micros) {
+	weight float64, launchedAt Micros) {
 	s := b.serversByID[id]
 	if s == nil {
 		s = &server{ServerHistory: ServerHistory{ID: id, SpeedFactor: 1}, groupMembers: map[GroupID]int{}, utilizationTrust: 1}
@@ -166,32 +177,35 @@
 	if b.weightKind != WeightNone && weight > 0 {
 		s.weight = weight
 	}
-	fresh := launched > s.LaunchedAt && now-launched < b.coldStart.WarmupTime
-	if state == Ready && (fresh || s.state == Gone) {
+	justLaunched := launchedAt > s.LaunchedAt && now-launchedAt < b.coldStart.WarmupTime
+	if state == Ready && (justLaunched || s.state == Gone) {
 		s.Attempts, s.Failures, s.AvoidUntil, s.utilization, s.ColdDraw = 0, 0, 0, 0, b.rng.Float64()
 		b.startAtMeanLoad(s)
 	}
 	s.wasDraining = state == Draining || s.wasDraining && state != Ready
-	s.state, s.LaunchedAt = state, launched
+	s.state, s.LaunchedAt = state, launchedAt
 }
 
-// isAllowedByList tells that the list does not forbid a server: where it proves nothing, who did not drain may be up.
+// isAllowedByList reports whether the list permits sending to s. Where "gone" proves nothing, a gone server that was not
+// draining before may still be up.
 func (b *Balancer) isAllowedByList(s *server) bool {
 	return s.state == Ready || b.listConfig.GoneMayBeUp && s.state == Gone && !s.wasDraining
 }
 
-// startAtMeanLoad guards against a newcomer drawing every attachment: it starts at the others' mean.
-func (b *Balancer) startAtMeanLoad(new *server) {
-	var units, size float64
+// startAtMeanLoad counts a server that joins as if it had the mean load of the others. Otherwise it would attract every
+// attachment.
+func (b *Balancer) startAtMeanLoad(added *server) {
+	var units, capacity float64
 	for _, s := range b.servers {
-		if s != new && s.state == Ready {
-			units, size = units+s.loadUnits+s.startUnits, size+b.capacity(s)
+		if s != added && s.state == Ready {
+			units, capacity = units+s.loadUnits+s.startUnits, capacity+b.capacity(s)
 		}
 	}
-	new.startUnits = max(0, units/max(size, 0.01)*b.capacity(new)-new.loadUnits)
+	added.startUnits = max(0, units/max(capacity, 0.01)*b.capacity(added)-added.loadUnits)
 }
 
-// EndList closes a list or a change and notes that the call was answered.
+// EndList ends a full list or an update of it, and recomputes what depends on the set of ready servers. Unless the list was
+// cached, it also answers the pending request and establishes the subscription.
 func (b *Balancer) EndList(now Micros, cached bool) {
 	if b.subscription.readingFullList {
 		for _, s := range b.servers {
@@ -216,200 +230,217 @@
 	}
 }
 
-// ListRequestFailed tells that a call failed or the subscription broke. Proxies come back apart from each other.
+// ListRequestFailed records that a request for the list failed or that the subscription broke, and schedules the next
+// request. The jitter keeps proxies from asking again at the same moment.
 func (b *Balancer) ListRequestFailed(now Micros) {
 	b.subscription.requestPending, b.subscription.active = false, false
 	b.subscription.failures++
-	// 1 s, then 2 s, at most a third of the span to ask in: changes count 6 s after it can be reached again.
+	// 1 s, then 2 s, but at most a third of AskWithin: changes count as delivered 6 s after the service is reachable again.
 	b.subscription.nextRequestAt = b.jitteredTime(now, min(Second<<min(b.subscription.failures-1, 1), max(tickInterval, b.listConfig.AskWithin/3)))
 }
 
-// SetListOutdated says whether the list is too old to send by: what it misses counts as told. Guards against sends
-// to who drains while the list's service is silent. It hurts while that lasts: all wait, or are pushed back.
-func (b *Balancer) SetListOutdated(is bool) { b.subscription.outdated = is }
+// SetListOutdated says whether the list is too old to send by, since changes that it misses count as delivered. It prevents
+// sends to draining servers while the list service is silent. The price is that all attachments are held, or pushed back,
+// while it is set.
+func (b *Balancer) SetListOutdated(outdated bool) { b.subscription.outdated = outdated }
 
+// renewSubscription requests the list when that is due and the subscription is not established.
 func (b *Balancer) renewSubscription(now Micros) {
 	if !b.listConfig.Subscribe || b.subscription.active || now < b.subscription.nextRequestAt {
 		return
 	}
 	b.subscription.requestPending = true
-	b.subscription.nextRequestAt = now + max(Second, b.listConfig.AskWithin/3) // a call that is never answered is made again
+	b.subscription.nextRequestAt = now + max(Second, b.listConfig.AskWithin/3) // repeats a request that is never answered
 	b.jobs = append(b.jobs, Job{Kind: Subscribe})
 }
 
-// ---- the pick
+// ---- choice of a server
 
-// capacity is a server's weight beside the mean, times its pace as late messages told, less across zones.
+// capacity returns the relative capacity of s: its weight over the mean one, times its speed factor, less in other zones.
+// Without own connections there, it is taken to be no faster than the mean of its model.
 func (b *Balancer) capacity(s *server) float64 {
-	pace := s.SpeedFactor
+	speed := s.SpeedFactor
 	if len(s.connections) == 0 && s.model.serverCount > 0 {
-		pace = min(pace, s.model.speedSum/s.model.serverCount)
+		speed = min(speed, s.model.speedSum/s.model.serverCount)
 	}
-	return s.weight / b.meanWeight * pace * b.zoneFactor(s)
+	return s.weight / b.meanWeight * speed * b.zoneFactor(s)
 }
 
-// zoneFactor is what a crossing leaves of a server's size.
+// zoneFactor returns the factor by which the cross-zone price reduces the capacity of s.
 func (b *Balancer) zoneFactor(s *server) float64 {
 	if s.zone == b.zone {
 		return 1
 	}
-	// At a price of a fifth others are all but closed while the own one is calm, else a third as large.
+	// At a price of 0.2, other zones are nearly closed while the own one is healthy, and a third as large while it is not.
 	return max(0.05, 1-(4.7-1.5*b.ownZoneTrouble)*b.crossZonePrice)
 }
 
-// estimatedLoad is a server's load in own mean connections: by own counts, where a report is fresh by that and what
-// was placed since, as one of many sees little. It hurts where one is untrue and no own sight says so.
+// estimatedLoad returns the load of s in units. Own counts alone say little where many proxies place on the same servers, so
+// a fresh utilization report corrects them, together with what was placed since. It does harm if a report is wrong and
+// nothing that this proxy sees contradicts it.
 func (b *Balancer) estimatedLoad(now Micros, s *server) float64 {
-	own := s.loadUnits + s.startUnits
+	ownLoad := s.loadUnits + s.startUnits
 	if b.meanUtilization == 0 || !s.hasFreshReport(now) {
-		return own
+		return ownLoad
 	}
-	told := s.utilization/b.meanUtilization*b.unitsPerCapacity*b.capacity(s)/b.zoneFactor(s) + s.loadUnits - s.utilizationUnits - own
+	excess := s.utilization/b.meanUtilization*b.unitsPerCapacity*b.capacity(s)/b.zoneFactor(s) + s.loadUnits - s.utilizationUnits - ownLoad
 	if b.isCold(now, s) {
-		told /= 2 // one just up says empty, and draws all: the cold rule was kept by 1%, and with this by 42%
+		excess /= 2 // a server that has just started reports that it is empty: in full, that all but breaks its cold-start limit
 	}
-	return own + reportWeight*s.utilizationTrust*told
+	return ownLoad + reportWeight*s.utilizationTrust*excess
 }
 
 const (
-	reportWeight     = 0.9         // with a half two thirds were gained
-	reportLifetime   = 12 * Second // how long one counts: to ask a hundred takes six; with 6 s less was gained
-	maxProbesPerTick = 4           // a tick: with one or two half was gained, with eight the price outgrew it
-	lowUtilization   = 0.5         // a fleet filled less is asked one a tick
+	reportWeight     = 0.9         // weight of a report against own counts; a much lower one loses a third of its benefit
+	reportLifetime   = 12 * Second // how long a report counts; probing a hundred servers takes 6 s, and a lifetime of 6 s gains less
+	maxProbesPerTick = 4           // for utilization; fewer lose half of the benefit, many more cost more than they bring
+	lowUtilization   = 0.5         // below this mean utilization, one server is probed per tick
 )
 
+// hasFreshReport reports whether the last utilization report still counts.
 func (s *server) hasFreshReport(now Micros) bool {
 	return s.utilization > 0 && now-s.utilizationAt < reportLifetime
 }
 
-// loadUnitsOf is an attachment's load in mean connections.
+// loadUnitsOf estimates the load of a in units: from its last report, its client's last report or its hint, in this order.
 func (b *Balancer) loadUnitsOf(a *Attachment) float64 {
-	level := cmp.Or(a.reportedLoad, b.clientLoads[a.Key], a.LoadHint)
-	if level <= 0 && a.Returning {
-		return 2 // the heaviest are moved first and tip servers; three did as well, one let them in again
+	load := cmp.Or(a.reportedLoad, b.clientLoads[a.Key], a.LoadHint)
+	if load <= 0 && a.Returning {
+		return 2 // the heaviest clients are moved first and overload servers: counted as 1 they would be admitted again
 	}
-	if level <= 0 || !b.connectionLoad.HasSamples || b.connectionLoad.Mean <= 0 {
+	if load <= 0 || !b.connectionLoad.HasSamples || b.connectionLoad.Mean <= 0 {
 		return 1
 	}
-	return min(max(level/b.connectionLoad.Mean, 0.1), 10) // a hint is rough, and a mean of few is rougher
+	return min(max(load/b.connectionLoad.Mean, 0.1), 10) // hints are rough, and a mean of few connections is rougher
 }
 
-// newGroupUnits is how much fuller a server counts that holds none of the group; the cost is told nowhere.
+// newGroupUnits is the load added to a server that has no member of the attachment's group. What a further group really
+// costs a server is not configured.
 const newGroupUnits = 10.0
 
-const delayLifetime = 5 * Second // how long a word on late messages holds; they come once a second
+const delayLifetime = 5 * Second // how long a reported delay counts; reports come once a second
 
+// isLate reports whether the last reported delay was too long and still counts.
 func (s *server) isLate(now Micros) bool {
 	return s.MessageDelay > 0 && now-s.MessageDelayAt < delayLifetime
 }
 
-// isStuck guards against a hung server drawing for seconds; a set-up takes tens of milliseconds.
+// isStuck reports whether the oldest pending set-up takes too long; normal ones take tens of milliseconds. It keeps a hung
+// server from attracting attachments for seconds.
 func (s *server) isStuck(now Micros) bool {
 	return len(s.pending) > 0 && now-s.pending[0].sentAt > 300*Millisecond
 }
 
+// mayReceive reports whether a may be sent to s at all: by the list, the rules on repeats and the cold-start budget.
 func (b *Balancer) mayReceive(now Micros, s *server, a *Attachment) bool {
 	return b.isAllowedByList(s) && b.mayRunOn(now, s, a) && b.fitsColdBudget(now, s, a)
 }
 
-// MaySend asks again as a dispatch's bytes are about to go out: the server may drain by now, a stamp be lost.
+// MaySend reports, just before a dispatch's bytes are written, whether a may still be sent: its server may have begun to
+// drain, or its stamp may have been forgotten.
 func (b *Balancer) MaySend(now Micros, a *Attachment) bool {
 	return a.server != nil && !b.subscription.outdated && b.isAllowedByList(a.server) && b.mayRunOn(now, a.server, a)
 }
 
-// isAvoided servers are passed over while another may be had; mayTake tells what may be sent to at all.
+// isAvoided reports whether s is passed over while there is another choice. What may be sent to at all is up to mayReceive.
 func (s *server) isAvoided(now Micros) bool { return s.AvoidUntil > now || s.isStuck(now) }
 
-// hasSlowPath tells that the way to a server's zone is slow or loses much.
+// hasSlowPath reports whether the path to the zone of s is slow or lossy.
 func (b *Balancer) hasSlowPath(s *server) bool {
 	return s.zone != b.zone && int(s.zone) < len(b.zonePaths) && b.zonePaths[s.zone].slowness > 0.5
 }
 
-// detectSlowPaths guards against a slow or lossy way that is taken for many slow servers: all of three or more in a
-// zone look bad from here, and most of the own zone do not; with most of two it was seen where none was. It
-// is forgotten 2 s after the last sign. It hurts where a zone is slow by itself and still the best to be had.
+// detectSlowPaths marks the paths to zones where all of three or more known servers look unhealthy, while at most half of
+// the own zone's do. It keeps a slow or lossy path from being taken for many slow servers; most of two servers as the
+// condition would mark paths that are well. The mark fades 2 s after the last sign. It does harm where a zone is slow by
+// itself and still the best choice.
 func (b *Balancer) detectSlowPaths() {
 	if int(b.zone) >= len(b.zonePaths) {
 		return
 	}
 	own := b.zonePaths[b.zone]
 	for i := range b.zonePaths {
-		w := &b.zonePaths[i]
-		w.slowness *= 0.93
-		if ZoneID(i) != b.zone && w.servers >= 3 && w.unhealthy >= w.servers && own.unhealthy <= own.servers/2 {
-			w.slowness = 1
+		path := &b.zonePaths[i]
+		path.slowness *= 0.93
+		if ZoneID(i) != b.zone && path.servers >= 3 && path.unhealthy >= path.servers && own.unhealthy <= own.servers/2 {
+			path.slowness = 1
 		}
 	}
 }
 
-// pickServer scans from the rotating start for the least load per size, the newcomer's included.
+// pickServer returns the server with the lowest placement cost, or nil if none may receive a. The scan starts at another
+// server each time.
 func (b *Balancer) pickServer(now Micros, a *Attachment) *server {
 	n := len(b.servers)
 	var best *server
-	u, bestCost, bestIll := b.loadUnitsOf(a), 0.0, false
+	units, bestCost, bestAvoided := b.loadUnitsOf(a), 0.0, false
 	for i := range n {
 		s := b.servers[(b.scanStart+i)%n]
-		// Guards against clients sent off a late server and back to it: it is most often their group's home.
-		ill := s.isAvoided(now) || s == a.lastServer || a.Returning && s.isLate(now) || b.hasSlowPath(s) || s.state != Ready
-		if !b.mayReceive(now, s, a) || best != nil && ill && !bestIll {
+		// A client moved off a late server must not go back to it, which is most often the first choice for its group.
+		avoided := s.isAvoided(now) || s == a.lastServer || a.Returning && s.isLate(now) || b.hasSlowPath(s) || s.state != Ready
+		if !b.mayReceive(now, s, a) || best != nil && avoided && !bestAvoided {
 			continue
 		}
-		cost := b.placementCost(now, s, a, u)
-		if best == nil || bestIll && !ill || cost < bestCost-1e-9 {
-			best, bestCost, bestIll = s, cost, ill
+		cost := b.placementCost(now, s, a, units)
+		if best == nil || bestAvoided && !avoided || cost < bestCost-1e-9 {
+			best, bestCost, bestAvoided = s, cost, avoided
 		}
 	}
 	b.scanStart = (b.scanStart + 1) % max(n, 1)
 	return best
 }
 
-// placementCost is how full a server would be, with up to one left to chance: the largest would draw all ties.
-func (b *Balancer) placementCost(now Micros, s *server, a *Attachment, u float64) float64 {
-	chance := b.rng.Float64()
+// placementCost returns how loaded s would be with a on it, relative to its capacity. Up to one unit is random: otherwise
+// the largest server would win all ties.
+func (b *Balancer) placementCost(now Micros, s *server, a *Attachment, units float64) float64 {
+	tieBreak := b.rng.Float64()
 	if s.zone != b.zone {
-		chance = max(chance, 1-b.ownZoneTrouble)
-	} else if s.Attempts > 0.01 { // used within some 20 s
-		chance /= 4 // among equals a server in use comes first; half or a sixteenth did the same
+		tieBreak = max(tieBreak, 1-b.ownZoneTrouble)
+	} else if s.Attempts > 0.01 { // used within about 20 s
+		tieBreak /= 4 // among equals, one in use comes first
 	}
-	u = b.estimatedLoad(now, s) + max(u-1, 0) + chance
+	units = b.estimatedLoad(now, s) + max(units-1, 0) + tieBreak
 	if a.Group != 0 && s.groupMembers[a.Group] == 0 {
-		// Guards against as many homes of a group as there are proxies: all know the same order of servers.
-		share := float64(b.groupMembers[a.Group]+1) / float64(b.ownConnections+10)
-		step, most := groupRankUnits, newGroupUnits
+		// All proxies rank the servers of a group alike, or it would spread over as many servers as there are proxies.
+		groupShare := float64(b.groupMembers[a.Group]+1) / float64(b.ownConnections+10)
+		rankUnits, maxUnits := groupRankUnits, newGroupUnits
 		if 10*b.ownConnections < b.readyServers {
-			step, most = step*4, most*4 // own counts tell next to nothing, and chance spread the groups
+			rankUnits, maxUnits = rankUnits*4, maxUnits*4 // own counts say almost nothing, and the random part would spread the group
 		}
 		if a.Returning {
-			step /= 2 // its last server was likely an early one, and is in trouble
+			rankUnits /= 2 // its last server was probably an early one in the ranking, and is in trouble
 		}
-		u += min(most, newGroupUnits/b.proxyCount+step*max(0, groupRank(a.Group, s.ID)/share-groupHomeShare))
+		units += min(maxUnits, newGroupUnits/b.proxyCount+rankUnits*max(0, groupRank(a.Group, s.ID)/groupShare-groupHomeShare))
 	}
 	if s.isLate(now) {
-		u++ // one more connection's worth; three, or none, did worse on fleets of all sizes
+		units++ // one more mean connection; none or three do worse in fleets of all sizes
 	}
 	if a.Returning && !b.probesForDelays() && b.ownConnections <= fewConnections && len(s.connections) == 0 && !b.isCold(now, s) {
-		// Guards against clients sent off a late server and back to it by proxies that have heard nothing of it.
-		// Where probes are all there is, it scattered groups and did harm.
-		u += unknownServerUnits
+		// Keeps proxies that have no report on a late server from sending back the clients that were moved off it. Where
+		// probes are the only source of delays, this would scatter groups and do harm.
+		units += unknownServerUnits
 	}
-	return u / b.capacity(s)
+	return units / b.capacity(s)
 }
 
-// fewConnections own connections tell next to nothing of a fleet; with more, larger fleets crowded those they know.
+// fewConnections is the number of own connections up to which they say almost nothing about the fleet. With a higher one,
+// proxies of larger fleets crowd the servers that they know.
 const fewConnections = 2
 
-// unknownServerUnits is more than most differences between servers: with 1 a quarter was gained, with 4 four fifths.
+// unknownServerUnits is the load added to a server that the proxy knows nothing about; it exceeds most differences between
+// servers. Much smaller values lose part of the benefit.
 const unknownServerUnits = 10.0
 
-// groupRankUnits is how many connections fuller a server counts that comes later in the group's own order by as
-// many servers as the group fills. Half of it spread groups too far; twice as much filled their homes.
+// groupRankUnits is the load added to a server for each multiple of the group's share of servers by which it comes later in
+// the group's ranking. Half of it spreads groups too far; twice as much overfills their first servers.
 const groupRankUnits = 2.0
 
-// groupHomeShare is the part of its share of the servers in which a group's first ones count alike. Guards against all
-// proxies filling the first: of 294 it held 10 mean loads, so 3.6; with 1 groups were on half more servers.
+// groupHomeShare is the part of a group's share of servers within which the first ones in its ranking count alike. It keeps
+// all proxies from filling the very first one, which would get several times the mean load. A larger part, as 1, puts
+// groups on half more servers.
 const groupHomeShare = 0.5
 
-// groupRank is a server's place in a group's order, evenly spread from 0 to 1.
+// groupRank returns the position of a server in a group's ranking of servers: a hash, evenly spread from 0 to 1.
 func groupRank(group GroupID, id ServerID) float64 {
 	x := uint64(group) ^ uint64(id)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -417,14 +448,15 @@
 	return float64((x^x>>31)>>11) / (1 << 53)
 }
 
-// startedAt is when a server last began from cold, as the list says or as it was seen to.
+// startedAt returns when s last started cold, by the list or as observed; 0 if unknown.
 func (s *server) startedAt() Micros { return max(s.LaunchedAt, s.recoveredAt) }
 
+// isCold reports whether s started less than the warm-up time ago.
 func (b *Balancer) isCold(now Micros, s *server) bool {
 	return s.startedAt() != 0 && now-s.startedAt() < b.coldStart.WarmupTime
 }
 
-// fitsColdBudget keeps the own part of the budget of a server that has just started.
+// fitsColdBudget reports whether a fits into this proxy's part of what s may get while it is cold.
 func (b *Balancer) fitsColdBudget(now Micros, s *server, a *Attachment) bool {
 	if !b.isCold(now, s) {
 		return true
@@ -437,37 +469,39 @@
 	for _, units := range s.ColdSendUnits {
 		spent += units
 	}
-	share := b.coldStart.InitialShare + (1-b.coldStart.InitialShare)*float64(age)/float64(b.coldStart.WarmupTime)
+	capacityShare := b.coldStart.InitialShare + (1-b.coldStart.InitialShare)*float64(age)/float64(b.coldStart.WarmupTime)
 	if now-s.ColdDrawAt >= b.coldStart.OverloadWindow {
-		s.ColdDraw, s.ColdDrawAt = b.rng.Float64(), now // guards against proxies that lost the draw once and for all
+		s.ColdDraw, s.ColdDrawAt = b.rng.Float64(), now // else a proxy that lost the draw could send nothing until s is warm
 	}
-	// Guards against hundreds of proxies with one each: below one, chance tells which has it.
-	budget := warmCapacityFactor * b.coldStart.OverloadMultiple * share * b.placementRate * float64(b.coldStart.OverloadWindow) / float64(Second)
+	// A budget below one connection is granted by chance: one from each of hundreds of proxies would be too many.
+	budget := warmCapacityFactor * b.coldStart.OverloadMultiple * capacityShare * b.placementRate * float64(b.coldStart.OverloadWindow) / float64(Second)
 	return spent+b.loadUnitsOf(a)*(1-s.ColdDraw) <= max(budget, 1/b.proxyCount)
 }
 
-// warmCapacityFactor is how much more a warm server is taken to bear than each was sent lately: it can be filled within
-// its warm-up. With a half all proxies together sent a new one next to nothing; with 20 no rule broke either.
+// warmCapacityFactor is how much more load a warm server is assumed to bear than servers lately got on average, so that a
+// new one can be filled within its warm-up. With 0.5, all proxies together send it almost nothing; with 20, no limit breaks.
 const warmCapacityFactor = 4.0
 
-// mayRunOn keeps the rule on effects: where one may have run, only a server that knows its stamp, and in time.
+// mayRunOn reports whether a may run on s. Once it may have run elsewhere, only a server that knows its stamp may get it,
+// and only within the dedup window.
 func (b *Balancer) mayRunOn(now Micros, s *server, a *Attachment) bool {
 	p := &b.products[a.Product]
 	return b.mayRepeat(now, a) && (a.mayHaveRunOn == nil || p.Idempotency == Harmless || p.DedupScope == DedupAll ||
 		p.DedupScope == DedupZone && s.zone == a.mayHaveRunOn.zone || p.DedupScope == DedupCell && s.cell == a.mayHaveRunOn.cell)
 }
 
-// ---- the three questions
+// ---- decisions on attachments
 
-const holdTime = 50 * Millisecond // how long an attachment waits when no server may take it
+const holdTime = 50 * Millisecond // how long an attachment is held when no server may receive it
 
-// ChooseServer says where to send an attachment, or not yet, or never.
+// ChooseServer decides whether a is sent to a server, held, pushed back or given up. If it is on a server already, the
+// decision is NoAction.
 func (b *Balancer) ChooseServer(now Micros, a *Attachment) Decision {
 	if a.server != nil {
 		return Decision{}
 	}
-	late := now+5*Millisecond >= a.HardLimit // the last tick is kept for the final answer
-	if late || a.dispatches >= b.products[a.Product].MaxDispatches || !b.mayRepeat(now, a) || b.shouldShed(a) {
+	tooLate := now+5*Millisecond >= a.HardLimit // leaves time for the final answer
+	if tooLate || a.dispatches >= b.products[a.Product].MaxDispatches || !b.mayRepeat(now, a) || b.shouldShed(a) {
 		return b.finalDecision(a)
 	}
 	s := b.connectionHolder(now, a)
@@ -481,7 +515,7 @@
 	return Decision{Action: Send, Server: s.ID, Duration: b.dispatchTimeout(now, a)}
 }
 
-// gainPerUnit is the gain that a unit of an attachment's load earns.
+// gainPerUnit returns the gain of each load unit of an attachment that has so many.
 func (b *Balancer) gainPerUnit(a *Attachment, units float64) float64 {
 	p := &b.products[a.Product]
 	if p.GainPerLoad {
@@ -490,49 +524,51 @@
 	return p.Gain / units
 }
 
-// shouldShed guards against a fleet that serves nobody because it has let everybody in: while many servers are
-// late or ill, what earns much less for its load than those that stand is pushed back, unless borne already.
+// shouldShed reports whether a is pushed back to protect an overloaded fleet, which would serve nobody if it admitted
+// everybody. While many servers are late or avoided, it applies to attachments that earn much less for their load than the
+// established ones. Packets of open connections are never shed.
 func (b *Balancer) shouldShed(a *Attachment) bool {
-	// The bar starts above half of the mean, which bars the few that bring most of the load, and rises to it.
+	// The bar starts above half of the mean, which sheds the few that bring most of the load, and rises to the mean.
 	bar := min(1, 0.4+b.unhealthyShare) * b.meanGainPerUnit
 	return !a.MidFlow && b.unhealthyShare > overloadThreshold && b.gainPerUnit(a, b.loadUnitsOf(a)) < bar
 }
 
-const overloadThreshold = 0.2 // more than single servers; a tenth bars on calm days, too
+const overloadThreshold = 0.2 // more than single servers; 0.1 sheds on calm days, too
 
-// logConditions tells on-call staff, in the log, when the plight changes.
+// logConditions tells operators, in the log, when the fleet becomes overloaded or set-ups fail for a common cause, or no longer.
 func (b *Balancer) logConditions() {
-	told := [2]bool{b.unhealthyShare > overloadThreshold, b.hasCommonCause()}
-	if told != b.loggedConditions {
-		b.loggedConditions = told
+	conditions := [2]bool{b.unhealthyShare > overloadThreshold, b.hasCommonCause()}
+	if conditions != b.loggedConditions {
+		b.loggedConditions = conditions
 		b.jobs = append(b.jobs, Job{Kind: Log, Message: fmt.Sprintf(
-			"crowded: %t, common cause: %t", told[0], told[1])})
+			"fleet overloaded: %t, set-ups fail for a common cause: %t", conditions[0], conditions[1])})
 	}
 }
 
-// measureFleet finds how crowded the known fleet is (two more are taken to be well) and what a unit of load earns.
+// measureFleet recomputes the statistics over all servers: reported utilization, health by zone, overload and the mean gain
+// of a load unit. For the overload, two more servers than are known are taken to be healthy.
 func (b *Balancer) measureFleet(now Micros) {
-	for _, k := range b.models {
-		*k = modelStats{}
+	for _, stats := range b.models {
+		*stats = modelStats{}
 	}
 	for i := range b.zonePaths {
 		b.zonePaths[i].servers, b.zonePaths[i].unhealthy = 0, 0
 	}
-	var gain, units, fills, held, sizes, faith float64
+	var gain, units, utilizations, ownUnits, capacities, trust float64
 	for _, s := range b.servers {
 		if s.state == Ready && s.hasFreshReport(now) {
-			fills, held = fills+s.utilizationTrust*s.utilization, held+s.utilizationTrust*s.loadUnits
-			sizes, faith = sizes+s.utilizationTrust*b.capacity(s), faith+s.utilizationTrust
+			utilizations, ownUnits = utilizations+s.utilizationTrust*s.utilization, ownUnits+s.utilizationTrust*s.loadUnits
+			capacities, trust = capacities+s.utilizationTrust*b.capacity(s), trust+s.utilizationTrust
 		}
-		trouble := 0.0
+		unhealthyCount := 0.0
 		if s.isLate(now) || s.AvoidUntil > now {
-			trouble = 1
+			unhealthyCount = 1
 		}
-		if s.state == Ready && (trouble > 0 || len(s.connections) > 0) {
+		if s.state == Ready && (unhealthyCount > 0 || len(s.connections) > 0) {
 			for int(s.zone) >= len(b.zonePaths) {
 				b.zonePaths = append(b.zonePaths, zonePath{})
 			}
-			b.zonePaths[s.zone].servers, b.zonePaths[s.zone].unhealthy = b.zonePaths[s.zone].servers+1, b.zonePaths[s.zone].unhealthy+trouble
+			b.zonePaths[s.zone].servers, b.zonePaths[s.zone].unhealthy = b.zonePaths[s.zone].servers+1, b.zonePaths[s.zone].unhealthy+unhealthyCount
 		}
 		if len(s.connections) > 0 || s.SpeedFactor < 1 {
 			s.model.speedSum, s.model.serverCount = s.model.speedSum+s.SpeedFactor, s.model.serverCount+1
@@ -543,35 +579,35 @@
 		}
 	}
 	b.meanUtilization, b.unitsPerCapacity = 0, 0
-	if faith >= 3 { // of fewer a mean says little
-		b.meanUtilization, b.unitsPerCapacity = fills/faith, max(held/sizes, 1) // a proxy that holds nothing goes by reports
+	if trust >= 3 { // a mean of fewer says little
+		b.meanUtilization, b.unitsPerCapacity = utilizations/trust, max(ownUnits/capacities, 1) // a proxy without connections goes by reports
 	}
 	b.detectSlowPaths()
-	var all, bad, own, ownBad float64
-	for i, w := range b.zonePaths {
+	var servers, unhealthy, ownServers, ownUnhealthy float64
+	for i, path := range b.zonePaths {
 		if ZoneID(i) == b.zone {
-			own, ownBad = w.servers, w.unhealthy
+			ownServers, ownUnhealthy = path.servers, path.unhealthy
 		}
-		if w.slowness <= 0.5 { // what is bad about a way is no sign of a crowd
-			all, bad = all+w.servers, bad+w.unhealthy
+		if path.slowness <= 0.5 { // a bad path is no sign of overload
+			servers, unhealthy = servers+path.servers, unhealthy+path.unhealthy
 		}
 	}
-	b.unhealthyShare = max(min(bad-1, 1)*bad/(all+2), b.unhealthyShare*0.92) // one is no crowd, however few are known
-	b.ownZoneTrouble = max(min(1, 4*ownBad/(own+2)), b.ownZoneTrouble*(0.98-crossZoneDecay*max(0, b.crossZonePrice-0.03)))
+	b.unhealthyShare = max(min(unhealthy-1, 1)*unhealthy/(servers+2), b.unhealthyShare*0.92) // one server is no overload, however few are known
+	b.ownZoneTrouble = max(min(1, 4*ownUnhealthy/(ownServers+2)), b.ownZoneTrouble*(0.98-crossZoneDecay*max(0, b.crossZonePrice-0.03)))
 	if units > 0 {
 		b.meanGainPerUnit = gain / units
 	}
 }
 
-// crossZoneDecay is how much sooner the own zone's trouble is forgotten, by what a crossing costs: a fifth each second
-// at a price of a fifth, as before up to 0.03, where to forget it sooner cost up to 0.012.
+// crossZoneDecay is how much faster trouble in the own zone is forgotten per unit of cross-zone price above 0.03: by a fifth
+// each second at a price of 0.2. At prices up to 0.03, forgetting it faster loses gain.
 const crossZoneDecay = 0.18
 
-// hasCommonCause tells that set-ups fail for a common cause, as a slow store: the last failed on several servers.
-// More make it worse, so they go out one at a time; each that stands takes one failure back.
+// hasCommonCause reports whether set-ups fail on several servers, which points to a common cause such as a slow store behind
+// them. More set-ups would make it worse, so they go out one at a time. Each success removes one failure.
 func (b *Balancer) hasCommonCause() bool { return len(b.failingServers) >= 2 }
 
-// connectionHolder returns packets of an open connection to the server that holds it, where known.
+// connectionHolder returns the server that has the open connection whose packets a consists of, or nil if unknown.
 func (b *Balancer) connectionHolder(now Micros, a *Attachment) *server {
 	if !a.MidFlow || a.dispatches > 0 {
 		return nil
@@ -583,62 +619,65 @@
 	return nil
 }
 
+// mayRepeat reports whether a may be sent once more, as it has not run or a repeat does no harm.
 func (b *Balancer) mayRepeat(now Micros, a *Attachment) bool {
 	p := &b.products[a.Product]
 	return a.mayHaveRunOn == nil || p.Idempotency == Harmless || p.Idempotency == Stamped && now-a.mayHaveRunSince < p.DedupWindow
 }
 
-// finalDecision is the final answer of what is sent no more: pushed back only where trying again is harmless.
+// finalDecision ends an attachment that is sent no more. It is pushed back only where a retry by the client is harmless.
 func (b *Balancer) finalDecision(a *Attachment) Decision {
 	p := &b.products[a.Product]
 	if a.mayHaveRunOn == nil || p.Idempotency == Harmless || p.Idempotency == Stamped && p.DedupScope == DedupAll {
-		ans := Decision{Action: PushBack}
-		if half := b.permissions.MaxRetryAfter / 2; half > 0 {
-			ans.Duration = half + Micros(b.rng.Int63n(int64(half)))
+		decision := Decision{Action: PushBack}
+		if minWait := b.permissions.MaxRetryAfter / 2; minWait > 0 {
+			decision.Duration = minWait + Micros(b.rng.Int63n(int64(minWait)))
 		}
-		return ans
+		return decision
 	}
 	return Decision{Action: GiveUp}
 }
 
-// dispatchTimeout is the time-out of a dispatch. Where a set-up stood lately it leaves room for another server in
-// the quoted time. Else it is all there is: the store may be slow, and another dispatch would burden it.
+// dispatchTimeout returns the time-out of a dispatch. After a recent successful set-up it leaves room for another server
+// within the quoted time. Otherwise it is all the time left: the store behind the servers may be slow, and another dispatch
+// would add to its load.
 func (b *Balancer) dispatchTimeout(now Micros, a *Attachment) Micros {
 	p := &b.products[a.Product]
-	left := a.HardLimit - now
+	remaining := a.HardLimit - now
 	if p.Idempotency == OneShot || a.dispatches >= p.MaxDispatches || len(b.failingServers) > 0 || now-b.lastEstablished > recentSetup {
-		return left
+		return remaining
 	}
-	usual := Micros(b.setupTime.Mean + 4*b.setupTime.Deviation)
-	return min(left, max(usual, p.QuotedTime*2/5))
+	typical := Micros(b.setupTime.Mean + 4*b.setupTime.Deviation)
+	return min(remaining, max(typical, p.QuotedTime*2/5))
 }
 
-const recentSetup = Second // a store that was quick a second ago is not what holds a set-up up
+const recentSetup = Second // a store that was fast a second ago is not what delays a set-up
 
-// RecordOutcome says what to do after an outcome; over tells that the attachment has had its final answer.
-func (b *Balancer) RecordOutcome(now Micros, a *Attachment, o Outcome, over bool) Decision {
-	s, stood := a.server, a.established
+// RecordOutcome records how the dispatch or the connection of a ended and decides what to do next. final says that the
+// attachment has had its final answer.
+func (b *Balancer) RecordOutcome(now Micros, a *Attachment, outcome Outcome, final bool) Decision {
+	s, wasEstablished := a.server, a.established
 	b.release(a)
 	if s == nil {
 		return Decision{}
 	}
-	if o != OK && o != Cancelled && o != NotSent {
-		b.recordFailure(now, s, a, o)
-		if !stood && o != Full {
+	if outcome != OK && outcome != Cancelled && outcome != NotSent {
+		b.recordFailure(now, s, a, outcome)
+		if !wasEstablished && outcome != Full {
 			s.setupFailures++
 		}
 	}
-	if stood && o == Reset {
-		b.placedUnits -= a.loadUnits // what is dropped again is no sign of what a server can bear
+	if wasEstablished && outcome == Reset {
+		b.placedUnits -= a.loadUnits // a connection that is dropped again does not show what a server can bear
 		if !b.delaysReported {
-			b.RecordDelay(now, s.ID, max(s.MessageDelay, b.shortestMessageTime())) // against sending them back; hurts where ways break
+			b.RecordDelay(now, s.ID, max(s.MessageDelay, b.shortestMessageTime())) // keeps clients from going back to s; does harm where paths break connections
 		}
 	}
-	if !stood && !o.NeverRan() && a.mayHaveRunOn == nil {
+	if !wasEstablished && !outcome.NeverRan() && a.mayHaveRunOn == nil {
 		a.mayHaveRunOn, a.mayHaveRunSince = s, a.sentAt
 	}
-	if over || stood {
-		if b.permissions.PassThrough && o != Cancelled {
+	if final || wasEstablished {
+		if b.permissions.PassThrough && outcome != Cancelled {
 			delete(b.serverByClient, a.Key)
 		}
 		return Decision{}
@@ -646,9 +685,10 @@
 	return b.ChooseServer(now, a)
 }
 
-const tickInterval = 250 * Millisecond // the period of the one timer
+const tickInterval = 250 * Millisecond // period of the work of Tick
 
-// Tick says how long to wait and hands out the errands that are due.
+// Tick does the periodic work if it is due. It returns the time until it is due again and the jobs for the host, which are
+// valid until the next call.
 func (b *Balancer) Tick(now Micros) (Micros, []Job) {
 	b.jobs = b.jobs[:0]
 	if now >= b.nextTickAt {
@@ -664,7 +704,7 @@
 	return b.nextTickAt - now, b.jobs
 }
 
-// decayStatistics lets old evidence fade: failures over some 3.5 s, a starting count over some 9 s.
+// decayStatistics lets old evidence fade: failures over about 3.5 s, the extra load of a start over about 9 s.
 func (b *Balancer) decayStatistics(now Micros) {
 	for _, s := range b.servers {
 		s.Attempts, s.Failures, s.startUnits = s.Attempts*0.95, s.Failures*0.95, s.startUnits*0.97
@@ -676,8 +716,9 @@
 	b.placedUnits = 0
 }
 
-// ---- counting
+// ---- events
 
+// assign counts a as a pending dispatch to s.
 func (b *Balancer) assign(now Micros, s *server, a *Attachment) {
 	a.server, a.lastServer, a.sentAt, a.loadUnits, a.dispatches = s, s, now, b.loadUnitsOf(a), a.dispatches+1
 	s.loadUnits += a.loadUnits
@@ -693,7 +734,7 @@
 	}
 }
 
-// release removes an attachment from the counts.
+// release removes a from all counts.
 func (b *Balancer) release(a *Attachment) {
 	s := a.server
 	if s == nil {
@@ -717,6 +758,7 @@
 	a.server, a.established = nil, false
 }
 
+// removePending removes a from the pending dispatches of s, if it is one.
 func (b *Balancer) removePending(s *server, a *Attachment) {
 	if i := slices.Index(s.pending, a); i >= 0 {
 		s.pending = slices.Delete(s.pending, i, i+1)
@@ -724,7 +766,7 @@
 	}
 }
 
-// RecordEstablished tells that a connection is set up.
+// RecordEstablished records that the connection of a is set up.
 func (b *Balancer) RecordEstablished(now Micros, a *Attachment) {
 	s := a.server
 	if s == nil || a.established {
@@ -743,15 +785,16 @@
 	s.Attempts++
 }
 
+// establish counts a as an established connection of s.
 func (b *Balancer) establish(s *server, a *Attachment) {
 	if b.permissions.PassThrough {
 		b.serverByClient[a.Key] = s.ID
 	}
-	b.probeCredit += 2 // one each saw less; without a bound the price outgrew the use where little comes
+	b.probeCredit += 2 // one for each connection sees less; without a bound, probes cost more than they bring where traffic is low
 	a.established, s.connections = true, append(s.connections, a)
 }
 
-// RecordRestored tells of a connection that stood through this instance when it started.
+// RecordRestored records a connection that was established through this proxy before the instance started.
 func (b *Balancer) RecordRestored(now Micros, a *Attachment, id ServerID) {
 	if s := b.serversByID[id]; s != nil {
 		b.assign(now, s, a)
@@ -760,190 +803,196 @@
 	}
 }
 
-// RecordClientLeft tells that the client is gone; a dispatch still out will have its outcome.
+// RecordClientLeft records that the client is gone. A dispatch that is pending will still have its outcome.
 func (b *Balancer) RecordClientLeft(now Micros, a *Attachment) {
 	if a.established {
 		b.release(a)
 	}
 }
 
-// RecordLoad tells a standing connection's load now, in microseconds of work a second.
-func (b *Balancer) RecordLoad(now Micros, a *Attachment, level float64) {
-	if level <= 0 || a.server == nil {
+// RecordLoad records the current load of a connection, in microseconds of work per second.
+func (b *Balancer) RecordLoad(now Micros, a *Attachment, load float64) {
+	if load <= 0 || a.server == nil {
 		return
 	}
-	a.reportedLoad = level
-	b.connectionLoad.add(level)
+	a.reportedLoad = load
+	b.connectionLoad.add(load)
 	if len(b.clientLoads) >= maxClientLoads {
 		clear(b.clientLoads)
 	}
 	if a.Key != 0 {
-		b.clientLoads[a.Key] = level // a moved or dropped client weighs as much when it comes again
+		b.clientLoads[a.Key] = load // counts again when a moved or dropped client comes back
 	}
 	a.server.loadUnits -= a.loadUnits
 	a.loadUnits = b.loadUnitsOf(a)
 	a.server.loadUnits += a.loadUnits
 }
 
-const maxClientLoads = 10000 // a few dozen bytes each: under a megabyte
+const maxClientLoads = 10000 // a few dozen bytes each: less than a megabyte
 
-// RecordDelay tells how long a message takes at a server now.
-func (b *Balancer) RecordDelay(now Micros, id ServerID, took Micros) {
+// RecordDelay records how long a message takes at a server now.
+func (b *Balancer) RecordDelay(now Micros, id ServerID, delay Micros) {
 	s := b.serversByID[id]
 	if s == nil {
 		return
 	}
-	s.DelayFalling, s.MessageDelay, s.MessageDelayAt = took < s.MessageDelay, 0, now
-	if took < b.shortestMessageTime()/3 {
-		return // a third of the quoted time is the lateness that is told of
+	s.DelayFalling, s.MessageDelay, s.MessageDelayAt = delay < s.MessageDelay, 0, now
+	if delay < b.shortestMessageTime()/3 {
+		return // lateness is reported from a third of the quoted time on
 	}
-	s.MessageDelay = took
+	s.MessageDelay = delay
 	if b.hasSlowPath(s) {
-		return // the way's doing: a pace wears off over a minute
+		return // the path is the cause, and a speed factor takes a minute to recover
 	}
-	// Guards against unlike servers behind equal weights and those that slow down.
-	s.SpeedFactor = max(minSpeedFactor, s.SpeedFactor*(1-speedPenalty[b.weightKind]*min(float64(took)/float64(b.shortestMessageTime()), 4)))
+	// Accounts for unlike servers with equal weights, and for those that slow down.
+	s.SpeedFactor = max(minSpeedFactor, s.SpeedFactor*(1-speedPenalty[b.weightKind]*min(float64(delay)/float64(b.shortestMessageTime()), 4)))
 }
 
-// speedPenalty is what a late word takes off the pace: a rough weight says least of a server's true speed.
+// speedPenalty is what a report of late messages takes off the speed factor. Rough weights say least about a server's speed.
 var speedPenalty = [...]float64{WeightNone: 0.1, WeightNominal: 0.1, WeightRough: 0.2, WeightLive: 0.1}
 
-// SetDelaysReported says whether servers tell how late messages are. While they do, nobody is probed for that.
-func (b *Balancer) SetDelaysReported(told bool) { b.delaysReported = told }
+// SetDelaysReported says whether servers report message delays. While they do, they are not probed for them.
+func (b *Balancer) SetDelaysReported(reported bool) { b.delaysReported = reported }
 
+// probesForDelays reports whether delays are measured by probes.
 func (b *Balancer) probesForDelays() bool { return b.permissions.AllowProbes && !b.delaysReported }
 
-// probeDelays probes the servers with own connections, as often as words on late messages come, where none come.
+// probeDelays probes servers with own connections as often as they would report delays: once a second.
 func (b *Balancer) probeDelays(now Micros) {
 	for _, s := range b.servers {
 		if b.probesForDelays() && b.probeCredit > 0 && len(s.connections) > 0 && now >= s.NextProbeAt {
 			b.probeCredit--
-			s.NextProbeAt = now + Second // half as often saw half as much, twice as often cost what it brought
+			s.NextProbeAt = now + Second // half as often sees half as much, twice as often costs what it brings
 			b.jobs = append(b.jobs, Job{Kind: Probe, Server: s.ID})
 		}
 	}
 }
 
-// EnableUtilizationProbes says that the host passes reports on. Live weights tell the same: to ask as well cost 0.033.
+// EnableUtilizationProbes says that the host passes utilization reports on. They are not asked for with live weights, which
+// say the same: probes would only add their cost.
 func (b *Balancer) EnableUtilizationProbes() { b.probesUtilization = b.weightKind != WeightLive }
 
-// probeUtilization has servers probed for their fill, in turn, as far as connections have paid for it.
+// probeUtilization probes servers for their utilization, in turn, as far as connections have paid for it.
 func (b *Balancer) probeUtilization() {
-	most := maxProbesPerTick
+	remaining := maxProbesPerTick
 	if b.meanUtilization > 0 && b.meanUtilization < lowUtilization {
-		most = 1
+		remaining = 1
 	}
 	for range b.servers {
-		if !b.probesUtilization || b.probeCredit <= 0 || most == 0 {
+		if !b.probesUtilization || b.probeCredit <= 0 || remaining == 0 {
 			return
 		}
 		b.lastProbedIndex = (b.lastProbedIndex + 1) % len(b.servers)
 		if s := b.servers[b.lastProbedIndex]; b.isAllowedByList(s) {
-			b.probeCredit, most = b.probeCredit-1, most-1
+			b.probeCredit, remaining = b.probeCredit-1, remaining-1
 			b.jobs = append(b.jobs, Job{Kind: Probe, Server: s.ID})
 		}
 	}
 }
 
-// RecordUtilization tells a server's load over what it can do, as it says. One that own sight contradicts is no more
-// believed, whatever makes it untrue: room where messages are late or own ones stand, none where all is well.
-func (b *Balancer) RecordUtilization(now Micros, id ServerID, fill float64) {
+// RecordUtilization records a server's own report of its load over its capacity. Values outside of [0, 100) are ignored. A
+// server is no longer trusted when this proxy's view contradicts it, whatever the cause: room while its messages are late,
+// none at all in use while it has own connections, or overload while all is well.
+func (b *Balancer) RecordUtilization(now Micros, id ServerID, utilization float64) {
 	s := b.serversByID[id]
-	if s == nil || !(fill >= 0 && fill < 100) {
+	if s == nil || !(utilization >= 0 && utilization < 100) {
 		return
 	}
 	s.utilizationTrust += (1 - s.utilizationTrust) / 4
-	if s.isLate(now) && fill < 0.7 || len(s.connections) > 0 && (fill == 0 || fill > 1.1 && !s.isLate(now)) {
+	if s.isLate(now) && utilization < 0.7 || len(s.connections) > 0 && (utilization == 0 || utilization > 1.1 && !s.isLate(now)) {
 		s.utilizationTrust = 0
 	}
-	s.utilization, s.utilizationAt, s.utilizationUnits = max(fill, 0.01), now, s.loadUnits
+	s.utilization, s.utilizationAt, s.utilizationUnits = max(utilization, 0.01), now, s.loadUnits
 }
 
-// RecordProbe tells how long a server took to answer a probe. Each quickest answer beyond the first, and a quarter
-// for jitter, stands for the quoted time. Of two the quicker counts where the way is long or one was paused.
-func (b *Balancer) RecordProbe(now Micros, id ServerID, took Micros) {
-	if s := b.serversByID[id]; s != nil && took > 0 && b.probesForDelays() {
-		s.FastestProbe = min(cmp.Or(s.FastestProbe, took), took)
-		seen := took
-		if s.zone != b.zone || took > pauseFactor*s.FastestProbe {
-			seen = min(took, s.LastProbe)
+// RecordProbe records how long a server took to answer a probe. The excess over its fastest answer and a quarter of it, which
+// allows for jitter, is scaled so that each multiple of the fastest answer counts as one quoted message time. In other
+// zones, and where a server seems to have paused, the faster one of its last two answers counts.
+func (b *Balancer) RecordProbe(now Micros, id ServerID, duration Micros) {
+	if s := b.serversByID[id]; s != nil && duration > 0 && b.probesForDelays() {
+		s.FastestProbe = min(cmp.Or(s.FastestProbe, duration), duration)
+		measured := duration
+		if s.zone != b.zone || duration > pauseFactor*s.FastestProbe {
+			measured = min(duration, s.LastProbe)
 		}
-		b.RecordDelay(now, id, b.shortestMessageTime()*max(0, seen-s.FastestProbe*5/4)/s.FastestProbe)
-		s.LastProbe = took
+		b.RecordDelay(now, id, b.shortestMessageTime()*max(0, measured-s.FastestProbe*5/4)/s.FastestProbe)
+		s.LastProbe = duration
 	}
 }
 
-const pauseFactor = 8 // times the quickest: full servers took four or five, paused ones ten and more
+const pauseFactor = 8 // times the fastest answer: full servers take four or five, paused ones ten and more
 
-const minSpeedFactor = 0.1 // the worst pace that on-call staff have seen a server fall to
+const minSpeedFactor = 0.1 // the slowest that operators have seen a server become
 
-// shortestMessageTime is the shortest quoted time of a message.
+// shortestMessageTime returns the shortest quoted message time of the active products, or math.MaxInt64 if none has one.
 func (b *Balancer) shortestMessageTime() Micros {
-	q := Micros(math.MaxInt64)
+	shortest := Micros(math.MaxInt64)
 	for _, id := range b.activeProducts {
-		q = min(q, cmp.Or(b.products[id].QuotedMessageTime, q))
+		shortest = min(shortest, cmp.Or(b.products[id].QuotedMessageTime, shortest))
 	}
-	return q
+	return shortest
 }
 
-// Snapshot tells what is known, for the instance that takes this one's place.
+// Snapshot returns what b has learned, for the instance that replaces it.
 func (b *Balancer) Snapshot() Snapshot {
-	m := Snapshot{SetupTime: Estimate(b.setupTime), ConnectionLoad: Estimate(b.connectionLoad), UnhealthyShare: b.unhealthyShare, OwnZoneTrouble: b.ownZoneTrouble, PlacementRate: b.placementRate,
+	snapshot := Snapshot{SetupTime: Estimate(b.setupTime), ConnectionLoad: Estimate(b.connectionLoad), UnhealthyShare: b.unhealthyShare, OwnZoneTrouble: b.ownZoneTrouble, PlacementRate: b.placementRate,
 		LastEstablished: b.lastEstablished, FailingServers: slices.Clone(b.failingServers)}
 	for _, s := range b.servers {
-		known := s.ServerHistory
-		known.ColdSendTimes, known.ColdSendUnits = slices.Clone(s.ColdSendTimes), slices.Clone(s.ColdSendUnits)
-		m.Servers = append(m.Servers, known)
+		history := s.ServerHistory
+		history.ColdSendTimes, history.ColdSendUnits = slices.Clone(s.ColdSendTimes), slices.Clone(s.ColdSendUnits)
+		snapshot.Servers = append(snapshot.Servers, history)
 	}
-	return m
+	return snapshot
 }
 
-// Restore takes over what the instance before knew of servers that are still the same.
-func (b *Balancer) Restore(m Snapshot) {
-	b.setupTime, b.connectionLoad = estimator(m.SetupTime), estimator(m.ConnectionLoad)
-	b.unhealthyShare, b.ownZoneTrouble, b.placementRate, b.lastEstablished, b.failingServers = m.UnhealthyShare, m.OwnZoneTrouble, m.PlacementRate, m.LastEstablished, m.FailingServers
-	for _, k := range m.Servers {
-		s := b.serversByID[k.ID]
-		if s == nil || s.LaunchedAt != k.LaunchedAt {
+// Restore adopts what the previous instance learned. The part on a server is used only if the server has not restarted since.
+func (b *Balancer) Restore(snapshot Snapshot) {
+	b.setupTime, b.connectionLoad = estimator(snapshot.SetupTime), estimator(snapshot.ConnectionLoad)
+	b.unhealthyShare, b.ownZoneTrouble, b.placementRate, b.lastEstablished, b.failingServers = snapshot.UnhealthyShare, snapshot.OwnZoneTrouble, snapshot.PlacementRate, snapshot.LastEstablished, snapshot.FailingServers
+	for _, history := range snapshot.Servers {
+		s := b.serversByID[history.ID]
+		if s == nil || s.LaunchedAt != history.LaunchedAt {
 			continue
 		}
-		n := min(len(k.ColdSendTimes), len(k.ColdSendUnits)) // what the one before has spent comes first: it is older
-		k.ColdSendTimes, k.ColdSendUnits = append(k.ColdSendTimes[:n:n], s.ColdSendTimes...), append(k.ColdSendUnits[:n:n], s.ColdSendUnits...)
-		k.Attempts, k.Failures = s.Attempts+k.Attempts, s.Failures+k.Failures
-		k.SpeedFactor, k.AvoidUntil = min(s.SpeedFactor, k.SpeedFactor), max(s.AvoidUntil, k.AvoidUntil)
-		s.ServerHistory = k
+		n := min(len(history.ColdSendTimes), len(history.ColdSendUnits)) // the previous instance's dispatches come first, as they are older
+		history.ColdSendTimes, history.ColdSendUnits = append(history.ColdSendTimes[:n:n], s.ColdSendTimes...), append(history.ColdSendUnits[:n:n], s.ColdSendUnits...)
+		history.Attempts, history.Failures = s.Attempts+history.Attempts, s.Failures+history.Failures
+		history.SpeedFactor, history.AvoidUntil = min(s.SpeedFactor, history.SpeedFactor), max(s.AvoidUntil, history.AvoidUntil)
+		s.ServerHistory = history
 	}
 }
 
-// ---- judging
+// ---- failures
 
-// downAfterFailures is how many set-ups in a row say that a server was gone; what stands after them finds it cold. Guards
-// against all proxies filling one that has just come back, also where the list says nothing of it.
+// downAfterFailures is the number of consecutive failed set-ups after which a server counts as down; a set-up that succeeds
+// then finds it cold. It keeps all proxies from filling a server that has just come back, even if the list does not show it.
 const downAfterFailures = 2
 
-// recordFailure books a failure and passes over a server whose share of failures is far above the median.
-func (b *Balancer) recordFailure(now Micros, s *server, a *Attachment, o Outcome) {
+// recordFailure counts a failure, and avoids a server for a while if its share of failures is far above the median.
+func (b *Balancer) recordFailure(now Micros, s *server, a *Attachment, outcome Outcome) {
 	s.Attempts, s.Failures = s.Attempts+1, s.Failures+1
-	if (o == TimedOut || o == Failure) && s.AvoidUntil <= now && !slices.Contains(b.failingServers, s.ID) {
+	if (outcome == TimedOut || outcome == Failure) && s.AvoidUntil <= now && !slices.Contains(b.failingServers, s.ID) {
 		b.failingServers = append(b.failingServers, s.ID)
 	}
-	if o == Reset || o == Full {
-		// Guards against a storm: what a full server drops comes again at once. A second lets some work off.
+	if outcome == Reset || outcome == Full {
+		// Prevents a retry storm: clients that a full server drops come back at once. In a second it finishes some work.
 		s.AvoidUntil = max(s.AvoidUntil, b.jitteredTime(now, Second))
 	}
-	// One failure in two tries is out of line where half the fleet has none.
+	// One failure in two attempts is out of line where half of the fleet has none.
 	if s.failureShare() > b.medianFailureShare()+0.3 {
-		s.AvoidUntil = b.jitteredTime(now, 2*Second) // doubling it each time made no difference
+		s.AvoidUntil = b.jitteredTime(now, 2*Second) // constant, as doubling it each time makes no difference
 	}
 }
 
-// jitteredTime is a time that lies a wait ahead, half as much more or less, so that proxies do not act as one.
+// jitteredTime returns the time after the given wait, which is varied by up to a half so that proxies do not act in step.
 func (b *Balancer) jitteredTime(now, wait Micros) Micros {
 	return now + wait/2 + Micros(b.rng.Int63n(int64(wait)))
 }
 
+// failureShare returns the share of recent attempts on s that failed.
 func (s *server) failureShare() float64 { return s.Failures / (s.Attempts + 1) }
 
+// medianFailureShare returns the median over the ready servers, 0 if there are none.
 func (b *Balancer) medianFailureShare() float64 {
 	b.failureShares = b.failureShares[:0]
 	for _, s := range b.servers {
@@ -960,50 +1009,52 @@
 
 // ---- moves
 
-// moveConnections moves connections off late servers; in a crowd only from twice that on, for there is less room. A
-// falling delay needs no more. Across zones they move home while that is calm, if a crossing costs more.
+// moveConnections moves connections off late servers; while the fleet is overloaded, only from twice that lateness on, as there
+// is less room elsewhere. A server whose delay is falling needs no more relief. Connections also leave servers that may no
+// longer be used and zones with a slow path. Those in other zones move to the own one while that is healthy, if crossing
+// costs more than moving.
 func (b *Balancer) moveConnections(now Micros) {
-	from := b.shortestMessageTime() / 3
+	threshold := b.shortestMessageTime() / 3
 	if b.unhealthyShare > overloadThreshold {
-		from = b.shortestMessageTime() * 2 / 3
+		threshold = b.shortestMessageTime() * 2 / 3
 	}
 	for _, s := range b.servers {
 		if !b.isAllowedByList(s) {
-			// Guards against clients cut off when their server stops: within some 2 s, and spread.
+			// Keeps clients from being cut off when their server stops: they leave within about 2 s, spread over that time.
 			for _, a := range s.connections[:(len(s.connections)+3)/4] {
 				b.jobs = append(b.jobs, Job{Kind: Move, Attachment: a.ID})
 			}
 			continue
 		}
 		var a *Attachment
-		rate := 0.0
+		movesPerSecond := 0.0
 		switch {
 		case len(s.connections) > 0 && b.hasSlowPath(s) && b.ownZoneTrouble < 0.5:
-			a, rate = s.connections[0], 0.5*float64(len(s.connections))
-		case s.isLate(now) && !s.DelayFalling && s.MessageDelay >= from:
-			// 8% a second of the own load where messages are just late, 32% where they take four times as
-			// long: half of it left slow servers full, half as much again swung the load of small fleets.
-			a, rate = s.heaviestConnection(), 0.08*min(float64(s.MessageDelay)/float64(from), 4)*s.loadUnits
+			a, movesPerSecond = s.connections[0], 0.5*float64(len(s.connections))
+		case s.isLate(now) && !s.DelayFalling && s.MessageDelay >= threshold:
+			// 8% of the own load per second where messages are just late, 32% where they take four times as long. Half
+			// as much leaves slow servers full; half as much again makes the load of small fleets oscillate.
+			a, movesPerSecond = s.heaviestConnection(), 0.08*min(float64(s.MessageDelay)/float64(threshold), 4)*s.loadUnits
 		case len(s.connections) > 0 && s.zone != b.zone && b.crossZonePrice > 1.5*b.movePrice && b.ownZoneTrouble < 0.25:
-			a, rate = s.connections[0], 0.2*float64(len(s.connections)) // 10% a second left half of the gain
+			a, movesPerSecond = s.connections[0], 0.2*float64(len(s.connections)) // per second; 10% would leave half of the gain
 		}
-		if a != nil && b.rng.Float64() < rate*float64(tickInterval)/float64(Second) {
+		if a != nil && b.rng.Float64() < movesPerSecond*float64(tickInterval)/float64(Second) {
 			b.jobs = append(b.jobs, Job{Kind: Move, Attachment: a.ID})
 		}
 	}
 }
 
-// heaviestConnection is the one whose move helps most. The last of its group takes the group's cost along.
+// heaviestConnection returns the connection whose move relieves s most. The last of its group takes the group's cost with it.
 func (s *server) heaviestConnection() *Attachment {
 	var best *Attachment
-	most := 0.0
+	maxWeight := 0.0
 	for _, a := range s.connections {
 		weight := a.loadUnits
 		if a.Group != 0 && s.groupMembers[a.Group] == 1 {
 			weight++
 		}
-		if weight > most {
-			best, most = a, weight
+		if weight > maxWeight {
+			best, maxWeight = a, weight
 		}
 	}
 	return best
