--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -9,38 +9,38 @@
 	"hatchproxy/logic"
 )
 
-// fillFleet is a whole fleet of instances that have placed so many connections, of groups as Zipf has them, before the same
-// servers; nothing tells them of late messages, and each knows its own few connections only. It returns the load of the
-// fullest server over the mean one, in connections and three for each group that it holds, and how many groups the
-// servers hold in all.
-func fillFleet(t *testing.T, proxies, servers, groups, connections int) (fullest float64, held int) {
+// fillFleet has a fleet of proxies place connections on the same servers. Group sizes follow Zipf's law. Delays are not
+// reported, and each proxy knows only its own few connections. The load of a server is its number of connections plus three
+// for each group that it holds. fillFleet returns the load of the fullest server over the mean one and the number of
+// groups held, summed over all servers.
+func fillFleet(t *testing.T, proxies, servers, groups, connections int) (fullest float64, groupsHeld int) {
 	rng := rand.New(rand.NewSource(1))
 	fleet := make([]*testHost, proxies)
 	for i := range fleet {
 		fleet[i] = newSeededHost(t, int64(i+1), proxies, servers)
 	}
-	shares := make([]float64, groups) // added up
+	cumulativeShares := make([]float64, groups) // cumulative
 	sum := 0.0
-	for i := range shares {
+	for i := range cumulativeShares {
 		sum += 1 / float64(i+1)
-		shares[i] = sum
+		cumulativeShares[i] = sum
 	}
 	load, members := map[logic.ServerID]float64{}, map[logic.ServerID]map[logic.GroupID]bool{}
 	for range connections {
-		f := fleet[rng.Intn(proxies)]
-		a := f.newAttachment(0)
-		for x := rng.Float64() * sum; a.Group == 0 || x > shares[a.Group-1]; {
+		h := fleet[rng.Intn(proxies)]
+		a := h.newAttachment(0)
+		for x := rng.Float64() * sum; a.Group == 0 || x > cumulativeShares[a.Group-1]; {
 			a.Group++
 		}
-		id := f.mustSend(a).Server
-		f.RecordEstablished(f.now, a)
+		id := h.mustSend(a).Server
+		h.RecordEstablished(h.now, a)
 		if members[id] == nil {
 			members[id] = map[logic.GroupID]bool{}
 		}
 		if !members[id][a.Group] {
 			members[id][a.Group] = true
 			load[id] += 3
-			held++
+			groupsHeld++
 		}
 		load[id]++
 	}
@@ -48,16 +48,16 @@
 	for _, x := range load {
 		sum, most = sum+x, max(most, x)
 	}
-	return most / (sum / float64(servers)), held
+	return most / (sum / float64(servers)), groupsHeld
 }
 
-// Three hundred proxies sent the large groups to their first server until it held seven times what the mean one did; it
-// dropped its clients, they came again and were sent back.
+// Some three hundred proxies sent the large groups to their first server until it had seven times the mean load. It dropped
+// its clients, which came back and were sent there again.
 func TestTheFirstServersOfLargeGroupsAreNotOverfilled(t *testing.T) {
-	fullest, held := fillFleet(t, 294, 87, 65, 2900)
+	fullest, groupsHeld := fillFleet(t, 294, 87, 65, 2900)
 	require.Less(t, fullest, 5.0)
-	require.Less(t, held, 320, "and a group stays on as few servers as will do: without an order it is on 1,500")
-	fullest, held = fillFleet(t, 279, 83, 30, 1500)
+	require.Less(t, groupsHeld, 320, "groups stay on few servers: without a ranking of servers the sum is 1,500")
+	fullest, groupsHeld = fillFleet(t, 279, 83, 30, 1500)
 	require.Less(t, fullest, 5.0)
-	require.Less(t, held, 200)
+	require.Less(t, groupsHeld, 200)
 }
--- a/logic/helpers_test.go
+++ b/logic/helpers_test.go
@@ -13,7 +13,7 @@
 	sec = logic.Second
 )
 
-// testHost is the tiny host of the stories: a clock, the attachments in hand and the answers they got.
+// testHost drives a balancer: it keeps the clock and collects the jobs that Tick returned.
 type testHost struct {
 	*testing.T
 	*logic.Balancer
@@ -22,98 +22,103 @@
 	jobs   []logic.Job
 }
 
+// statusProduct is the product of tests that name none. A repeat of it is harmless.
 var statusProduct = logic.Product{QuotedTime: 300 * ms, QuotedMessageTime: 100 * ms, DedupWindow: 5 * sec, Gain: 1}
 
-// newHost starts an instance that knows so many ready servers, numbered from 1, each of weight 1 in zone 0.
+// newHost returns a host with the given number of ready servers, numbered from 1, each of weight 1 in zone 0.
 func newHost(t *testing.T, servers int, products ...logic.Product) *testHost {
 	return newSeededHost(t, 1, 1, servers, products...)
 }
 
-// newSeededHost starts one of so many instances.
+// newSeededHost does the same for one of several proxies. The seed is the index of the proxy, too.
 func newSeededHost(t *testing.T, seed int64, proxies, servers int, products ...logic.Product) *testHost {
 	return newWeightedHost(t, seed, proxies, servers, logic.WeightNominal, products...)
 }
 
-func newWeightedHost(t *testing.T, seed int64, proxies, servers int, weighing logic.WeightKind,
+// newWeightedHost does the same for weights of the given kind.
+func newWeightedHost(t *testing.T, seed int64, proxies, servers int, weightKind logic.WeightKind,
 	products ...logic.Product) *testHost {
 	if len(products) == 0 {
 		products = []logic.Product{statusProduct}
 	}
-	f := &testHost{T: t, now: 100 * sec}
-	f.Balancer = logic.New(seed, int(seed), proxies, 0, products, weighing,
+	h := &testHost{T: t, now: 100 * sec}
+	h.Balancer = logic.New(seed, int(seed), proxies, 0, products, weightKind,
 		logic.ListConfig{Subscribe: true, AskWithin: 10 * sec},
 		logic.ColdStart{InitialShare: 0.3, WarmupTime: 9 * sec, OverloadMultiple: 3, OverloadWindow: 3 * sec},
 		logic.Permissions{MaxDispatches: 5, MaxRetryAfter: sec, AllowProbes: true}, 0.2, 0.01)
-	f.BeginFullList(f.now)
+	h.BeginFullList(h.now)
 	for id := 1; id <= servers; id++ {
-		f.updateServer(logic.ServerID(id), logic.Ready, 0)
+		h.updateServer(logic.ServerID(id), logic.Ready, 0)
 	}
-	f.EndList(f.now, true)
-	return f
+	h.EndList(h.now, true)
+	return h
 }
 
-func (f *testHost) updateServer(id logic.ServerID, state logic.State, launched logic.Micros) {
-	f.UpdateServer(f.now, id, 0, 0, logic.CellID(id), state, 1, launched)
+// updateServer applies an entry of the server list: weight 1, zone 0 and a cell of its own.
+func (h *testHost) updateServer(id logic.ServerID, state logic.State, launchedAt logic.Micros) {
+	h.UpdateServer(h.now, id, 0, 0, logic.CellID(id), state, 1, launchedAt)
 }
 
-// advance lets time go by, with the periodic questions that belong to it.
-func (f *testHost) advance(span logic.Micros) {
-	for end := f.now + span; f.now < end; {
-		wait, errands := f.Tick(f.now)
-		f.jobs = append(f.jobs, errands...)
-		f.now = min(end, f.now+max(wait, ms))
+// advance lets time pass and calls Tick whenever it is due.
+func (h *testHost) advance(duration logic.Micros) {
+	for end := h.now + duration; h.now < end; {
+		wait, jobs := h.Tick(h.now)
+		h.jobs = append(h.jobs, jobs...)
+		h.now = min(end, h.now+max(wait, ms))
 	}
 }
 
-func (f *testHost) newAttachment(product logic.ProductID) *logic.Attachment {
-	f.lastID++
+// newAttachment returns one that arrives now and must have its final answer in 2 s.
+func (h *testHost) newAttachment(product logic.ProductID) *logic.Attachment {
+	h.lastID++
 	return &logic.Attachment{
-		ID: f.lastID, Product: product, Key: logic.ClientKey(f.lastID), ArrivedAt: f.now, HardLimit: f.now + 2*sec,
+		ID: h.lastID, Product: product, Key: logic.ClientKey(h.lastID), ArrivedAt: h.now, HardLimit: h.now + 2*sec,
 	}
 }
 
-// mustSend asks where to and demands a server.
-func (f *testHost) mustSend(a *logic.Attachment) logic.Decision {
-	f.Helper()
-	ans := f.ChooseServer(f.now, a)
-	require.Equal(f, logic.Send, ans.Action)
-	return ans
+// mustSend fails the test unless the attachment is sent to a server.
+func (h *testHost) mustSend(a *logic.Attachment) logic.Decision {
+	h.Helper()
+	decision := h.ChooseServer(h.now, a)
+	require.Equal(h, logic.Send, decision.Action)
+	return decision
 }
 
-// establish sets up a connection and tells its server.
-func (f *testHost) establish() (*logic.Attachment, logic.ServerID) {
-	f.Helper()
-	a := f.newAttachment(0)
-	ans := f.mustSend(a)
-	f.RecordEstablished(f.now, a)
-	return a, ans.Server
+// establish sets up a new connection and returns its server.
+func (h *testHost) establish() (*logic.Attachment, logic.ServerID) {
+	h.Helper()
+	a := h.newAttachment(0)
+	decision := h.mustSend(a)
+	h.RecordEstablished(h.now, a)
+	return a, decision.Server
 }
 
-// establishMany places connections evenly and returns them by server.
-func (f *testHost) establishMany(n int) map[logic.ServerID][]*logic.Attachment {
-	f.Helper()
+// establishMany sets up n connections and returns them by server.
+func (h *testHost) establishMany(n int) map[logic.ServerID][]*logic.Attachment {
+	h.Helper()
 	on := map[logic.ServerID][]*logic.Attachment{}
 	for range n {
-		a, id := f.establish()
+		a, id := h.establish()
 		on[id] = append(on[id], a)
 	}
 	return on
 }
 
-// reportDelays tells of late messages at a server, once a second for so many seconds.
-func (f *testHost) reportDelays(took logic.Micros, seconds int, ids ...logic.ServerID) {
+// reportDelays reports a message delay of the given servers, once a second for so many seconds.
+func (h *testHost) reportDelays(delay logic.Micros, seconds int, ids ...logic.ServerID) {
 	for range seconds {
 		for _, id := range ids {
-			f.RecordDelay(f.now, id, took)
+			h.RecordDelay(h.now, id, delay)
 		}
-		f.advance(sec)
+		h.advance(sec)
 	}
 }
 
-func (f *testHost) countJobs(task logic.JobKind) int {
+// countJobs counts the collected jobs of a kind.
+func (h *testHost) countJobs(kind logic.JobKind) int {
 	n := 0
-	for _, e := range f.jobs {
-		if e.Kind == task {
+	for _, job := range h.jobs {
+		if job.Kind == kind {
 			n++
 		}
 	}
