--- a/logic/logic.go
+++ b/logic/logic.go
@@ -2,9 +2,9 @@
 // may take, when it is repeated, pushed back or given up, and which connections are moved.
 //
 // A host keeps the attachments and the timers. It calls ChooseServer for a new attachment, RecordOutcome when a dispatch or
-// a connection ends, and Tick for the periodic work. All other methods report events or settings. The package reads no
-// clock and does no I/O; an instance shares no state with any other and is not safe for concurrent use. The plain types are
-// in types.go.
+// a connection ends, and Tick for the periodic work. The other methods report events, change settings or answer
+// questions. The package reads no clock and does no I/O; an instance shares no state with any other and is not safe for
+// concurrent use. The plain types are in types.go.
 //
 // Loads are counted in units: one unit is the load of a mean connection.
 package logic
@@ -37,13 +37,13 @@
 	pendingDispatches, readyServers   int                    // dispatches without an outcome; servers in state Ready
 	meanWeight                        float64                // of the ready servers
 	setupTime, connectionLoad         estimator              // microseconds; microseconds of work per second
-	unhealthyShare                    float64                // decaying maximum of the share of known servers that are late or avoided
+	unhealthyShare                    float64                // decaying maximum share of known servers that are late or failing
 	ownZoneTrouble                    float64                // the same for the own zone, 1 from a quarter on; decays more slowly
 	zonePaths                         []zonePath             // by ZoneID
 	meanGainPerUnit                   float64                // mean gain of a load unit on established connections
 	loggedConditions                  [2]bool                // the conditions that were last logged
 	placementRate, placedUnits        float64                // load units set up per second and ready server, smoothed; since the last tick
-	serverByClient                    map[ClientKey]ServerID // used in pass-through mode only
+	serverByClient                    map[ClientKey]ServerID // filled in pass-through mode only
 	ownConnections                    int                    // attachments on servers, pending ones included
 	groupMembers                      map[GroupID]int        // those of each group
 	models                            map[ModelID]*modelStats
@@ -285,7 +285,8 @@
 	}
 	excess := s.utilization/b.meanUtilization*b.unitsPerCapacity*b.capacity(s)/b.zoneFactor(s) + s.loadUnits - s.utilizationUnits - ownLoad
 	if b.isCold(now, s) {
-		excess /= 2 // a server that has just started reports that it is empty: in full, that all but breaks its cold-start limit
+		// A server that has just started reports that it is empty: counted in full, this all but breaks its cold-start limit.
+		excess /= 2
 	}
 	return ownLoad + reportWeight*s.utilizationTrust*excess
 }
@@ -314,8 +315,8 @@
 	return min(max(load/b.connectionLoad.Mean, 0.1), 10) // hints are rough, and a mean of few connections is rougher
 }
 
-// newGroupUnits is the load added to a server that has no member of the attachment's group. What a further group really
-// costs a server is not configured.
+// newGroupUnits limits the load added to a server that has no member of the attachment's group; the limit is four times
+// that while own counts say almost nothing. What a further group really costs a server is not configured.
 const newGroupUnits = 10.0
 
 const delayLifetime = 5 * Second // how long a reported delay counts; reports come once a second
@@ -405,7 +406,8 @@
 		groupShare := float64(b.groupMembers[a.Group]+1) / float64(b.ownConnections+10)
 		rankUnits, maxUnits := groupRankUnits, newGroupUnits
 		if 10*b.ownConnections < b.readyServers {
-			rankUnits, maxUnits = rankUnits*4, maxUnits*4 // own counts say almost nothing, and the random part would spread the group
+			// Own counts say almost nothing, and the random part would spread the group.
+			rankUnits, maxUnits = rankUnits*4, maxUnits*4
 		}
 		if a.Returning {
 			rankUnits /= 2 // its last server was probably an early one in the ranking, and is in trouble
@@ -427,8 +429,8 @@
 // proxies of larger fleets crowd the servers that they know.
 const fewConnections = 2
 
-// unknownServerUnits is the load added to a server that the proxy knows nothing about; it exceeds most differences between
-// servers. Much smaller values lose part of the benefit.
+// unknownServerUnits is the load added, for returning clients, to a server that the proxy knows nothing about. It exceeds
+// most differences between servers; much smaller values lose part of the benefit.
 const unknownServerUnits = 10.0
 
 // groupRankUnits is the load added to a server for each multiple of the group's share of servers by which it comes later in
@@ -525,7 +527,7 @@
 }
 
 // shouldShed reports whether a is pushed back to protect an overloaded fleet, which would serve nobody if it admitted
-// everybody. While many servers are late or avoided, it applies to attachments that earn much less for their load than the
+// everybody. While many servers are late or failing, it applies to attachments that earn much less for their load than the
 // established ones. Packets of open connections are never shed.
 func (b *Balancer) shouldShed(a *Attachment) bool {
 	// The bar starts above half of the mean, which sheds the few that bring most of the load, and rises to the mean.
@@ -580,7 +582,8 @@
 	}
 	b.meanUtilization, b.unitsPerCapacity = 0, 0
 	if trust >= 3 { // a mean of fewer says little
-		b.meanUtilization, b.unitsPerCapacity = utilizations/trust, max(ownUnits/capacities, 1) // a proxy without connections goes by reports
+		// A proxy without connections goes by reports.
+		b.meanUtilization, b.unitsPerCapacity = utilizations/trust, max(ownUnits/capacities, 1)
 	}
 	b.detectSlowPaths()
 	var servers, unhealthy, ownServers, ownUnhealthy float64
@@ -592,7 +595,8 @@
 			servers, unhealthy = servers+path.servers, unhealthy+path.unhealthy
 		}
 	}
-	b.unhealthyShare = max(min(unhealthy-1, 1)*unhealthy/(servers+2), b.unhealthyShare*0.92) // one server is no overload, however few are known
+	// One server is no overload, however few are known.
+	b.unhealthyShare = max(min(unhealthy-1, 1)*unhealthy/(servers+2), b.unhealthyShare*0.92)
 	b.ownZoneTrouble = max(min(1, 4*ownUnhealthy/(ownServers+2)), b.ownZoneTrouble*(0.98-crossZoneDecay*max(0, b.crossZonePrice-0.03)))
 	if units > 0 {
 		b.meanGainPerUnit = gain / units
@@ -619,7 +623,7 @@
 	return nil
 }
 
-// mayRepeat reports whether a may be sent once more, as it has not run or a repeat does no harm.
+// mayRepeat reports whether a may be sent once more because it cannot have run or a repeat does no harm.
 func (b *Balancer) mayRepeat(now Micros, a *Attachment) bool {
 	p := &b.products[a.Product]
 	return a.mayHaveRunOn == nil || p.Idempotency == Harmless || p.Idempotency == Stamped && now-a.mayHaveRunSince < p.DedupWindow
@@ -670,7 +674,8 @@
 	if wasEstablished && outcome == Reset {
 		b.placedUnits -= a.loadUnits // a connection that is dropped again does not show what a server can bear
 		if !b.delaysReported {
-			b.RecordDelay(now, s.ID, max(s.MessageDelay, b.shortestMessageTime())) // keeps clients from going back to s; does harm where paths break connections
+			// Keeps clients from going back to s. It does harm where paths break connections.
+			b.RecordDelay(now, s.ID, max(s.MessageDelay, b.shortestMessageTime()))
 		}
 	}
 	if !wasEstablished && !outcome.NeverRan() && a.mayHaveRunOn == nil {
@@ -790,7 +795,8 @@
 	if b.permissions.PassThrough {
 		b.serverByClient[a.Key] = s.ID
 	}
-	b.probeCredit += 2 // one for each connection sees less; without a bound, probes cost more than they bring where traffic is low
+	// Two probes for each connection: one sees less, and without a bound probes cost more than they bring at low traffic.
+	b.probeCredit += 2
 	a.established, s.connections = true, append(s.connections, a)
 }
 
@@ -935,7 +941,8 @@
 
 // Snapshot returns what b has learned, for the instance that replaces it.
 func (b *Balancer) Snapshot() Snapshot {
-	snapshot := Snapshot{SetupTime: Estimate(b.setupTime), ConnectionLoad: Estimate(b.connectionLoad), UnhealthyShare: b.unhealthyShare, OwnZoneTrouble: b.ownZoneTrouble, PlacementRate: b.placementRate,
+	snapshot := Snapshot{SetupTime: Estimate(b.setupTime), ConnectionLoad: Estimate(b.connectionLoad),
+		UnhealthyShare: b.unhealthyShare, OwnZoneTrouble: b.ownZoneTrouble, PlacementRate: b.placementRate,
 		LastEstablished: b.lastEstablished, FailingServers: slices.Clone(b.failingServers)}
 	for _, s := range b.servers {
 		history := s.ServerHistory
@@ -948,14 +955,17 @@
 // Restore adopts what the previous instance learned. The part on a server is used only if the server has not restarted since.
 func (b *Balancer) Restore(snapshot Snapshot) {
 	b.setupTime, b.connectionLoad = estimator(snapshot.SetupTime), estimator(snapshot.ConnectionLoad)
-	b.unhealthyShare, b.ownZoneTrouble, b.placementRate, b.lastEstablished, b.failingServers = snapshot.UnhealthyShare, snapshot.OwnZoneTrouble, snapshot.PlacementRate, snapshot.LastEstablished, snapshot.FailingServers
+	b.unhealthyShare, b.ownZoneTrouble, b.placementRate, b.lastEstablished, b.failingServers =
+		snapshot.UnhealthyShare, snapshot.OwnZoneTrouble, snapshot.PlacementRate, snapshot.LastEstablished, snapshot.FailingServers
 	for _, history := range snapshot.Servers {
 		s := b.serversByID[history.ID]
 		if s == nil || s.LaunchedAt != history.LaunchedAt {
 			continue
 		}
-		n := min(len(history.ColdSendTimes), len(history.ColdSendUnits)) // the previous instance's dispatches come first, as they are older
-		history.ColdSendTimes, history.ColdSendUnits = append(history.ColdSendTimes[:n:n], s.ColdSendTimes...), append(history.ColdSendUnits[:n:n], s.ColdSendUnits...)
+		// The previous instance's dispatches are older, so they come first.
+		n := min(len(history.ColdSendTimes), len(history.ColdSendUnits))
+		history.ColdSendTimes, history.ColdSendUnits = append(history.ColdSendTimes[:n:n], s.ColdSendTimes...),
+			append(history.ColdSendUnits[:n:n], s.ColdSendUnits...)
 		history.Attempts, history.Failures = s.Attempts+history.Attempts, s.Failures+history.Failures
 		history.SpeedFactor, history.AvoidUntil = min(s.SpeedFactor, history.SpeedFactor), max(s.AvoidUntil, history.AvoidUntil)
 		s.ServerHistory = history
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -537,7 +537,8 @@
 	for range 50 {
 		require.Len(t, h.Reconfigure(newConfigured(2, statusProduct, statusProduct)), 2)
 	}
-	require.Equal(t, h.Reconfigure(newConfigured(2, statusProduct)), h.Reconfigure(newConfigured(2, statusProduct)), "the table does not grow when the same products are configured again")
+	require.Equal(t, h.Reconfigure(newConfigured(2, statusProduct)), h.Reconfigure(newConfigured(2, statusProduct)),
+		"the table does not grow when the same products are configured again")
 	for id := logic.ServerID(1); id <= 3; id++ {
 		status, known := h.ServerStatus(h.now, id)
 		require.True(t, known)
@@ -683,7 +684,8 @@
 	for _, server := range []logic.ServerID{1, 2, 3} {
 		before, _ := old.ServerStatus(old.now, server)
 		after, _ := successor.ServerStatus(successor.now, server)
-		require.Equal(t, []any{before.Late, before.SpeedFactor, before.FailureShare, before.AvoidUntil}, []any{after.Late, after.SpeedFactor, after.FailureShare, after.AvoidUntil}, "server %d", server)
+		require.Equal(t, []any{before.Late, before.SpeedFactor, before.FailureShare, before.AvoidUntil},
+			[]any{after.Late, after.SpeedFactor, after.FailureShare, after.AvoidUntil}, "server %d", server)
 	}
 	after, _ := successor.ServerStatus(successor.now, id)
 	require.NotZero(t, after.AvoidUntil, "still avoided")
@@ -905,7 +907,8 @@
 		if reportsPassedOn {
 			h.EnableUtilizationProbes()
 		}
-		h.Reconfigure(logic.New(1, 1, 1, 0, []logic.Product{statusProduct}, weightKind, logic.ListConfig{}, logic.ColdStart{}, logic.Permissions{MaxDispatches: 5}, 0.2, 0.01))
+		h.Reconfigure(logic.New(1, 1, 1, 0, []logic.Product{statusProduct}, weightKind, logic.ListConfig{},
+			logic.ColdStart{}, logic.Permissions{MaxDispatches: 5}, 0.2, 0.01))
 		h.establishMany(8) // each connection pays for two probes
 		return h
 	}
