--- a/internal/proxy/accept.go
+++ b/internal/proxy/accept.go
@@ -8,8 +8,8 @@
 	"hatchproxy/internal/listen"
 )
 
-// acceptor accepts clients' connections, beside the loop, while it is not paused. What comes meanwhile waits in the
-// listener's queue.
+// acceptor accepts client connections on a goroutine of its own, outside the event loop, while it is not paused.
+// Connections that arrive while it is paused wait in the listener's backlog.
 type acceptor struct {
 	listener   *listen.FileListener
 	handleConn func(*os.File)
@@ -18,18 +18,18 @@
 	stateChanged *sync.Cond
 	paused       bool
 	closed       bool
-	loopStarted  bool
+	loopStarted  bool // acceptLoop runs
 }
 
-// newAcceptor makes one that is paused. The listener is its own from now on; take is called for one connection after
-// the other.
-func newAcceptor(l *listen.FileListener, take func(*os.File)) *acceptor {
-	a := &acceptor{listener: l, handleConn: take, paused: true}
+// newAcceptor returns a paused acceptor, which owns the listener from then on. It calls handleConn for one connection
+// at a time; handleConn owns the file.
+func newAcceptor(l *listen.FileListener, handleConn func(*os.File)) *acceptor {
+	a := &acceptor{listener: l, handleConn: handleConn, paused: true}
 	a.stateChanged = sync.NewCond(&a.mu)
 	return a
 }
 
-// Resume has it accept.
+// Resume starts or continues accepting. It does nothing after Close.
 func (a *acceptor) Resume() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -37,7 +37,7 @@
 		return
 	}
 	a.paused = false
-	_ = a.listener.SetDeadline(time.Time{}) // fails where it is closed
+	_ = a.listener.SetDeadline(time.Time{}) // fails only if the listener is closed
 	if !a.loopStarted {
 		a.loopStarted = true
 		go a.acceptLoop()
@@ -45,22 +45,22 @@
 	a.stateChanged.Broadcast()
 }
 
-// Pause has it accept no more; one that it has just accepted is still taken.
+// Pause stops accepting. A connection that was accepted just before is still passed to handleConn.
 func (a *acceptor) Pause() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.paused = true
-	_ = a.listener.SetDeadline(time.Unix(1, 0)) // long over
+	_ = a.listener.SetDeadline(time.Unix(1, 0)) // a time in the past makes Accept return at once
 }
 
-// Paused tells whether it is paused.
+// Paused reports whether the acceptor is paused.
 func (a *acceptor) Paused() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.paused
 }
 
-// Close ends it and its listener.
+// Close stops the acceptor for good and closes its listener.
 func (a *acceptor) Close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -69,17 +69,18 @@
 	a.stateChanged.Broadcast()
 }
 
+// acceptLoop accepts connections until the acceptor is closed.
 func (a *acceptor) acceptLoop() {
 	for a.waitUntilResumed() {
 		conn, err := a.listener.Accept()
 		if err != nil {
-			continue // paused or closed: a listener knows no other error
+			continue // paused or closed: FileListener retries all other errors itself
 		}
 		a.handleConn(conn)
 	}
 }
 
-// waitUntilResumed waits while it is paused; false once it is closed.
+// waitUntilResumed blocks while the acceptor is paused. It returns false once the acceptor is closed.
 func (a *acceptor) waitUntilResumed() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -8,53 +8,56 @@
 	"hatchproxy/logic"
 )
 
-// metricsInterval is the span between two copies of the counts. A rest comes every 250 ms at least, with the decisions' own
-// tick, and figures may be half a second old.
+// metricsInterval is the minimum time between two copies of the counters. A copy is made after an event, and events
+// come every 250 ms at least since the balancer's tick is one; metrics may be at most 500 ms old.
 const metricsInterval = 50 * millisecond
 
-// EnableMetrics has the counts copied for whoever fetches them, from descriptors that are taken off those for clients. It is to be
-// called before Run.
+// EnableMetrics makes the proxy publish its metrics and reserves the descriptors of the admin server, which clients
+// and servers can no longer use. It must be called before Run.
 func (p *Proxy) EnableMetrics() {
 	p.metricsEnabled = true
 	p.maxSockets -= admin.MaxDescriptors
 }
 
-// Metrics are the last copy of the counts.
+// Metrics returns the last published snapshot, or nil before the first one. It may be called from any goroutine.
 func (p *Proxy) Metrics() *telemetry.Snapshot { return p.metrics.Load() }
 
-// Evacuate has the proxy send its clients away.
+// Evacuate makes the proxy move all of its clients to other proxies while it keeps running. It returns once the event
+// loop has begun, or with an error if ctx ends or the proxy stops first.
 func (p *Proxy) Evacuate(ctx context.Context) error { return p.runOnLoop(ctx, p.evacuate) }
 
-// Rejoin takes it back to work.
+// Rejoin ends an evacuation: the proxy serves again. Its errors are those of Evacuate.
 func (p *Proxy) Rejoin(ctx context.Context) error { return p.runOnLoop(ctx, p.rejoin) }
 
-func (p *Proxy) runOnLoop(ctx context.Context, order func()) error {
+// runOnLoop runs an action on the event loop and waits for it.
+func (p *Proxy) runOnLoop(ctx context.Context, action func()) error {
 	_, err := callOnLoop(ctx, p, func() bool {
-		order()
+		action()
 		return true
 	})
 	return err
 }
 
+// publishMetrics stores a new snapshot of the metrics if the last one is old enough.
 func (p *Proxy) publishMetrics() {
 	now := p.now()
 	if !p.metricsEnabled || now-p.metricsCopiedAt < metricsInterval {
 		return
 	}
 	p.metricsCopiedAt = now
-	held := telemetry.Gauges{Ready: p.ready && p.mode != leaving, Current: len(p.clients)}
+	gauges := telemetry.Gauges{Ready: p.ready && p.mode != leaving, Current: len(p.clients)}
 	for id := range p.servers {
-		seen, known := p.instance.ServerStatus(now, id)
-		if !known || seen.State == logic.Gone {
+		status, known := p.instance.ServerStatus(now, id)
+		if !known || status.State == logic.Gone {
 			continue
 		}
-		held.Listed++
-		if seen.State == logic.Draining || seen.AvoidUntil > 0 || seen.Stuck {
-			held.Unhealthy++
+		gauges.Listed++
+		if status.State == logic.Draining || status.AvoidUntil > 0 || status.Stuck {
+			gauges.Unhealthy++
 		}
 	}
 	p.counters.AcceptRetries = p.acceptor.listener.Failures()
-	p.metrics.Store(p.counters.Snapshot(held))
+	p.metrics.Store(p.counters.Snapshot(gauges))
 }
 
 var _ admin.Proxy = (*Proxy)(nil)
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -8,13 +8,14 @@
 	"hatchproxy/internal/telemetry"
 )
 
-// Why requests are refused before an attempt, as the figures tell it.
+// Reasons for refusing a request before its first attempt: values of the `why` attribute in traces and of a metric label.
 const (
 	reasonNoDescriptors = "no descriptors"
 	reasonLeaving       = "leaving"
 )
 
-// failureReason is why a request that was taken ends without a server: how its last attempt ended.
+// failureReason returns why an accepted request ends without a server: the outcome of its last attempt, or that there
+// was none.
 func (c *client) failureReason() string {
 	if c.request.Attempts() == 0 {
 		return "no server"
@@ -22,21 +23,22 @@
 	return c.lastOutcome.String()
 }
 
-// refuse tells a client whose request the proxy does not take that trying again is harmless.
-func (p *Proxy) refuse(c *client, why string) {
-	p.answerAndClose(c, telemetry.Deferred, protocol.BusyLine(0), why)
+// refuse answers a client whose request the proxy does not accept: the client may safely try again at once.
+func (p *Proxy) refuse(c *client, reason string) {
+	p.answerAndClose(c, telemetry.Deferred, protocol.BusyLine(0), reason)
 }
 
-// answerAndClose gives a client its final line and closes. One that is over is left alone.
-func (p *Proxy) answerAndClose(c *client, ending telemetry.Ending, line []byte, why string) {
+// answerAndClose sends a client its final answer and closes the connection. It does nothing if the request has ended.
+func (p *Proxy) answerAndClose(c *client, ending telemetry.Ending, line []byte, reason string) {
 	if !c.request.HasEnded() {
-		p.sendAnswer(c, ending, line, why)
+		p.sendAnswer(c, ending, line, reason)
 		p.closeAnswered(c)
 	}
 }
 
-// sendAnswer gives a client its final line. A refusal that proves too much is told as a failure instead.
-func (p *Proxy) sendAnswer(c *client, ending telemetry.Ending, line []byte, why string) {
+// sendAnswer sends a client its final answer. A refusal promises that the request has not run; where that is not
+// certain, the client gets the failure line instead, and the attempted refusal is reported as a violation.
+func (p *Proxy) sendAnswer(c *client, ending telemetry.Ending, line []byte, reason string) {
 	answer := lifecycle.Failed
 	if ending == telemetry.Deferred {
 		answer = lifecycle.Refused
@@ -52,24 +54,25 @@
 		p.counters.CountRequest(c.class, ending)
 	}
 	if ending == telemetry.Deferred {
-		p.counters.CountRefused(why)
+		p.counters.CountRefused(reason)
 	}
-	p.trace("answered", c, "ending", ending.String(), "why", why)
-	_, _ = c.conn.Write(line) // a failure comes as the end of the connection
+	p.trace("answered", c, "ending", ending.String(), "why", reason)
+	_, _ = c.conn.Write(line) // a failed write is reported through OnClose
 	p.releaseClient(c)
 }
 
-// reportViolation counts and logs what a rule forbids: each is a fault of this program, and was not done.
+// reportViolation counts and logs an action that a lifecycle rule forbids. The action was not done; each violation is
+// a bug of this program. c may be nil.
 func (p *Proxy) reportViolation(c *client, err error) {
 	rule := "unknown"
-	var v *lifecycle.Violation
-	if errors.As(err, &v) {
-		rule = string(v.Rule)
+	var violation *lifecycle.Violation
+	if errors.As(err, &violation) {
+		rule = string(violation.Rule)
 	}
 	p.counters.CountViolation(rule)
 	args := []any{"rule", rule, "error", err}
 	if c != nil {
 		args = append(args, "id", uint64(c.id), "client_id", c.parser.ID, "attempts", c.request.Attempts(), "last", c.lastOutcome.String())
 	}
-	p.log.Error("a rule was about to be broken", args...)
+	p.log.Error("prevented an action that a lifecycle rule forbids", args...)
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -18,51 +18,53 @@
 	"hatchproxy/logic"
 )
 
-// server is where a server of the list is found, and how it answers messages.
+// server is one entry of the server list, with what the proxy has measured on its connections to it.
 type server struct {
 	id               logic.ServerID
-	uid              string
+	uid              string // its name in the server list
 	endpoint         string
 	zone             logic.ZoneID
 	model            logic.ModelID
 	cell             logic.CellID
 	weight           float64
 	launchedAt       logic.Micros
-	establishedCount int
-	recentReplies    []reply
-	reportedLate     bool // its messages were told to be late
-	reports          loadreports.Server
-	probe            *probe
+	establishedCount int                // established connections of this proxy
+	recentReplies    []reply            // recent response times to messages
+	reportedLate     bool               // the balancer was last told that its responses are late
+	reports          loadreports.Server // tells reported loads from reported delays
+	probe            *probe             // nil while there is no probe connection
 }
 
-// attempt is one try at a server. It owns the connection to it, from the dial on.
+// attempt is one dispatch of a request to a server and, once established, the server side of the connection. It owns
+// the socket to the server from the dial on.
 type attempt struct {
 	client       *client
 	server       *server
 	parser       protocol.Server
-	conn         gnet.Conn // nil while it is dialled
+	conn         gnet.Conn // nil until it is connected
 	cancelDial   context.CancelFunc
 	startedAt    logic.Micros
 	deadline     logic.Micros
-	writeStarted bool // its line was handed over for writing
+	writeStarted bool // the request line was passed to gnet for writing
 	finished     bool
-	closeOutcome logic.Outcome // what the server's last word says of the end of a standing connection
+	closeOutcome logic.Outcome // the outcome if the server closes the established connection now
 }
 
-// isFullyWritten tells whether the last byte of the line may have gone to the server. The kernel takes a line in parts, or later:
-// what it has not taken is still in the connection's buffer, and goes out on its own time.
-func (d *attempt) isFullyWritten() bool { return d.writeStarted && d.conn.OutboundBuffered() == 0 }
+// isFullyWritten reports whether the last byte of the request line may have reached the server. The kernel may take
+// only a part of the line, or nothing yet: the rest stays in gnet's buffer and is written later.
+func (a *attempt) isFullyWritten() bool { return a.writeStarted && a.conn.OutboundBuffered() == 0 }
 
-// outcomeIfWritten is the outcome of a attempt that ends before the server has said anything: one whose line is not out whole has
-// never run, and never will, as drop and serverEnded see to.
-func (d *attempt) outcomeIfWritten(otherwise logic.Outcome) logic.Outcome {
-	if d.isFullyWritten() {
-		return otherwise
+// outcomeIfWritten returns the outcome of an attempt that ends before the server has answered: the given one if the
+// request line is fully written, and NoConnection otherwise. In that case the request has not run and never will,
+// since dropAttempt discards the rest of the line.
+func (a *attempt) outcomeIfWritten(outcome logic.Outcome) logic.Outcome {
+	if a.isFullyWritten() {
+		return outcome
 	}
 	return logic.NoConnection
 }
 
-// Send starts a attempt.
+// Send starts an attempt for an attachment at a server, which may take the given time. It implements host.Executor.
 func (p *Proxy) Send(id logic.AttachmentID, to logic.ServerID, wait logic.Micros) {
 	c := p.clients[id]
 	if c == nil {
@@ -71,6 +73,7 @@
 	p.startAttempt(c, to, wait)
 }
 
+// startAttempt dials a server for a client's request. If a lifecycle rule forbids another attempt, the request fails.
 func (p *Proxy) startAttempt(c *client, to logic.ServerID, wait logic.Micros) {
 	now := p.now()
 	if err := c.request.StartAttempt(now); err != nil {
@@ -82,58 +85,59 @@
 	if c.request.Attempts() > 1 {
 		p.counters.CountRetried(c.lastOutcome.String())
 	}
-	d := &attempt{client: c, server: p.servers[to], startedAt: now, deadline: now + wait, closeOutcome: logic.Reset}
-	c.attempt = d
-	p.trace("sent", c, "server", d.server.uid)
+	a := &attempt{client: c, server: p.servers[to], startedAt: now, deadline: now + wait, closeOutcome: logic.Reset}
+	c.attempt = a
+	p.trace("sent", c, "server", a.server.uid)
 	var ctx context.Context
-	ctx, d.cancelDial = context.WithCancel(p.ctx)
-	p.ensureDescriptors(2) // those in use for requests leave room for what is not had here
+	ctx, a.cancelDial = context.WithCancel(p.ctx)
+	p.ensureDescriptors(2) // if it fails, the requests that hold the descriptors leave enough room for the attempt
 	p.openSockets += 2
-	p.scheduleAt(d.deadline, func() {
-		if !d.finished && !c.request.WasEstablished() {
-			p.failAttempt(d, d.outcomeIfWritten(logic.TimedOut))
+	p.scheduleAt(a.deadline, func() {
+		if !a.finished && !c.request.WasEstablished() {
+			p.failAttempt(a, a.outcomeIfWritten(logic.TimedOut))
 		}
 	})
-	go p.dial(ctx, d, d.server.endpoint, min(wait, p.dialTimeout))
+	go p.dial(ctx, a, a.server.endpoint, min(wait, p.dialTimeout))
 }
 
-// dial runs beside the loop and hands it the connection, or word that there is none.
-func (p *Proxy) dial(ctx context.Context, d *attempt, endpoint string, wait logic.Micros) {
+// dial runs on a goroutine of its own. It registers the connection with the event loop, or fails the attempt there.
+func (p *Proxy) dial(ctx context.Context, a *attempt, endpoint string, wait logic.Micros) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(wait)*time.Microsecond)
 	defer cancel()
-	if err := p.dialAndRegister(ctx, d, endpoint); err != nil {
+	if err := p.dialAndRegister(ctx, a, endpoint); err != nil {
 		p.post(func() {
 			p.openSockets -= 2
-			if !d.finished {
-				p.log.Debug("no connection", "server", endpoint, "error", err)
-				p.failAttempt(d, logic.NoConnection)
+			if !a.finished {
+				p.log.Debug("cannot connect to a server", "server", endpoint, "error", err)
+				p.failAttempt(a, logic.NoConnection)
 			}
 		})
 	}
 }
 
-// maxUnreachableRetries is how often a dial is made again that finds no way: some 7 ms in all.
+// maxUnreachableRetries is how often a dial is retried after ENETUNREACH: about 7 ms of backoff in all.
 const maxUnreachableRetries = 3
 
-// dialAndRegister dials a server and has the loop take the connection for a side. While this machine has no socket to spare, or the
-// loop's poller no room, it goes on trying until the context ends: that says nothing of the server, and uses up no attempt.
+// dialAndRegister dials a server and registers the connection with the event loop; side becomes its context there.
+// While this machine is short of sockets or the loop's poller rejects connections, it retries until ctx ends: such
+// errors say nothing about the server and must not use up an attempt.
 func (p *Proxy) dialAndRegister(ctx context.Context, side any, endpoint string) error {
-	wait := transient.Backoff{Initial: time.Millisecond, Max: 50 * time.Millisecond}
+	backoff := transient.Backoff{Initial: time.Millisecond, Max: 50 * time.Millisecond}
 	unreachable := 0
-	passes := func(err error) bool {
+	isRetryable := func(err error) bool {
 		local := transient.IsResourceShortage(err) || errors.Is(err, errNotRegistered)
 		if errors.Is(err, unix.ENETUNREACH) {
-			// A route of this machine that is missing for a moment, or the server's own: then another one is the better try.
+			// Either this machine lacks a route for a moment, or the server is unreachable: then another server is the better choice.
 			unreachable++
 			local = unreachable <= maxUnreachableRetries
 		}
 		if local && ctx.Err() == nil {
 			p.post(func() { p.counters.DialRetries++ })
-			p.log.Debug("a dial is made again", "server", endpoint, "error", err)
+			p.log.Debug("retrying to connect to a server", "server", endpoint, "error", err)
 		}
 		return local
 	}
-	return transient.Retry(ctx, wait, passes, func() error {
+	return transient.Retry(ctx, backoff, isRetryable, func() error {
 		conn, err := p.dialFunc(ctx, endpoint)
 		if err != nil {
 			return err
@@ -142,195 +146,203 @@
 	})
 }
 
-// serverConnected sends the line. A connection for what is over by now is closed.
-func (p *Proxy) serverConnected(d *attempt, conn gnet.Conn) gnet.Action {
-	if c := d.client; c.request.WasEstablished() {
+// serverConnected sends the request line on a new connection to a server. It closes the connection if the attempt has
+// ended or may no longer be sent. For a connection taken over from a predecessor process, it continues the takeover.
+func (p *Proxy) serverConnected(a *attempt, conn gnet.Conn) gnet.Action {
+	if c := a.client; c.request.WasEstablished() {
 		return p.serverResumed(c, conn)
 	}
 	p.openSockets-- // the dial closes its own descriptor
-	if d.finished {
+	if a.finished {
 		return gnet.Close
 	}
-	if !p.confirmSend(d) {
+	if !p.confirmSend(a) {
 		return gnet.Close
 	}
-	d.conn = conn
-	line := d.client.parser.OpenLine(d.deadline - p.now())
+	a.conn = conn
+	line := a.client.parser.OpenLine(a.deadline - p.now())
 	if _, err := conn.Write(line); err != nil {
-		return gnet.None // the end of the connection has been told, with the line unsent
+		return gnet.None // OnClose was called, with the line unsent
 	}
-	d.writeStarted = true
-	d.client.request.MarkSent()
+	a.writeStarted = true
+	a.client.request.MarkSent()
 	p.counters.Sends++
 	return gnet.None
 }
 
-// confirmSend decides, in the instant before a line would be written, whether it may be. The world may have changed since the
-// attempt began: the client may have left, its time be up, the server drain, a repeat be out of its window. An attempt
-// that may not be sent ends here, and has never run.
-func (p *Proxy) confirmSend(d *attempt) bool {
-	c, now := d.client, p.now()
+// confirmSend reports whether the request line may still be written; it is called right before the write. Since the
+// attempt began, the client may have left, the deadline may have passed, the server may have begun to drain, or the
+// window for a repeat may be over. An attempt that may not be sent ends here and has never run.
+func (p *Proxy) confirmSend(a *attempt) bool {
+	c, now := a.client, p.now()
 	if err := c.request.CheckSend(now, isClientPresent(c.conn)); err != nil {
-		var v *lifecycle.Violation
-		if errors.As(err, &v) && v.Rule == lifecycle.ClientPresent {
-			// Its end is about to be read. Should that look have been wrong, it has its one answer all the same.
+		var violation *lifecycle.Violation
+		if errors.As(err, &violation) && violation.Rule == lifecycle.ClientPresent {
+			// The loop is about to read the client's end. It gets its final answer in case isClientPresent was wrong.
 			p.abandon(c)
 			p.answerAndClose(c, telemetry.Errored, protocol.FailedLine, "client left")
 			return false
 		}
-		p.trace("unsent", c, "server", d.server.uid, "why", err.Error())
-		p.failAttempt(d, logic.NotSent)
+		p.trace("unsent", c, "server", a.server.uid, "why", err.Error())
+		p.failAttempt(a, logic.NotSent)
 		return false
 	}
 	if c.parser.ResumeServer == "" && !p.instance.MaySend(now, c.attachment) {
-		p.failAttempt(d, logic.NotSent)
+		p.failAttempt(a, logic.NotSent)
 		return false
 	}
 	return true
 }
 
-// isClientPresent tells whether a client's connection has neither ended nor been reset, also where the loop has not come to read
-// that yet. A look that fails for any other reason says nothing of the client.
+// isClientPresent reports whether a client's connection is neither closed nor reset by the client, even if the event
+// loop has not read that yet. Any other error of the check says nothing about the client, which then counts as present.
 func isClientPresent(conn gnet.Conn) bool {
 	if !isOpen(conn) {
 		return false
 	}
-	var next [1]byte
-	n, _, err := unix.Recvfrom(conn.Fd(), next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	var buf [1]byte
+	n, _, err := unix.Recvfrom(conn.Fd(), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	ended := n == 0 && err == nil
 	return !ended && !errors.Is(err, unix.ECONNRESET)
 }
 
-func (p *Proxy) serverDataReceived(d *attempt, b []byte) {
-	if c := d.client; c.request.WasEstablished() && c.conn == nil {
-		c.pendingInput = append(c.pendingInput, b...)
+// serverDataReceived parses bytes from a server: its answer to the request line, and afterwards what is relayed to the
+// client. Bytes for a client that is still being taken over from a predecessor are kept until its socket is registered.
+func (p *Proxy) serverDataReceived(a *attempt, data []byte) {
+	if c := a.client; c.request.WasEstablished() && c.conn == nil {
+		c.pendingInput = append(c.pendingInput, data...)
 		return
 	}
-	for len(b) > 0 && !d.finished {
-		var ev protocol.ServerEvent
-		var pass []byte
-		ev, pass, b = d.parser.Feed(b)
-		if d.client.request.WasEstablished() {
-			p.relayToClient(d, ev, pass)
+	for len(data) > 0 && !a.finished {
+		var event protocol.ServerEvent
+		var forward []byte
+		event, forward, data = a.parser.Feed(data)
+		if a.client.request.WasEstablished() {
+			p.relayToClient(a, event, forward)
 			continue
 		}
-		switch ev {
+		switch event {
 		case protocol.ServerUp:
-			p.markEstablished(d, pass)
+			p.markEstablished(a, forward)
 		case protocol.ServerBusy:
-			p.failAttempt(d, logic.Full)
+			p.failAttempt(a, logic.Full)
 		case protocol.ServerError:
-			p.failAttempt(d, logic.Failure)
+			p.failAttempt(a, logic.Failure)
 		case protocol.ServerMove:
-			p.failAttempt(d, logic.Cancelled)
+			p.failAttempt(a, logic.Cancelled)
 		case protocol.ServerInvalid:
-			p.log.Warn("a server's answer means nothing", "server", d.server.endpoint, "why", d.parser.Err)
-			p.failAttempt(d, logic.Failure)
+			p.log.Warn("invalid answer from a server", "server", a.server.endpoint, "why", a.parser.Err)
+			p.failAttempt(a, logic.Failure)
 		}
 	}
 }
 
-// markEstablished passes the server's word on: the connection stands.
-func (p *Proxy) markEstablished(d *attempt, pass []byte) {
-	c, now := d.client, p.now()
+// markEstablished marks a connection established after the server accepted it, and relays the server's answer.
+func (p *Proxy) markEstablished(a *attempt, forward []byte) {
+	c, now := a.client, p.now()
 	if err := c.request.Establish(); err != nil {
 		p.reportViolation(c, err)
-		p.failAttempt(d, logic.Failure)
+		p.failAttempt(a, logic.Failure)
 		return
 	}
 	c.reports.EstablishedAt = now
-	p.trace("up", c, "server", d.server.uid, "took_us", int64(now-d.startedAt))
-	d.cancelDial()
-	d.server.establishedCount++
+	p.trace("up", c, "server", a.server.uid, "took_us", int64(now-a.startedAt))
+	a.cancelDial()
+	a.server.establishedCount++
 	p.counters.CountRequest(c.class, telemetry.Answered)
 	if c.parser.ResumeServer != "" {
-		p.instance.ConnectionResumed(now, c.attachment, d.server.id)
+		p.instance.ConnectionResumed(now, c.attachment, a.server.id)
 	} else {
 		p.instance.ConnectionEstablished(now, c.id)
 	}
-	p.writeToClient(c, pass)
+	p.writeToClient(c, forward)
 }
 
-// failAttempt ends a attempt that never established and asks what to do now.
-func (p *Proxy) failAttempt(d *attempt, o logic.Outcome) {
-	c := d.client
-	p.trace("failed", c, "server", d.server.uid, "took_us", int64(p.now()-d.startedAt), "outcome", uint8(o), "why", o.String())
-	p.dropAttempt(d)
-	c.lastOutcome = o
-	c.request.FinishAttempt(!o.NeverRan())
+// failAttempt ends an attempt that was not established, and lets the balancer decide what to do next.
+func (p *Proxy) failAttempt(a *attempt, outcome logic.Outcome) {
+	c := a.client
+	p.trace("failed", c, "server", a.server.uid, "took_us", int64(p.now()-a.startedAt), "outcome", uint8(outcome), "why", outcome.String())
+	p.dropAttempt(a)
+	c.lastOutcome = outcome
+	c.request.FinishAttempt(!outcome.NeverRan())
 	if c.parser.ResumeServer != "" {
 		p.scheduleAfter(restoreRetryDelay, func() { p.restoreConnection(c) })
 		return
 	}
-	p.instance.DispatchEnded(p.now(), c.id, o, false)
+	p.instance.DispatchEnded(p.now(), c.id, outcome, false)
 }
 
-// dropAttempt is where a attempt that never established gives back what it has. A dial that is still under way ends, and
-// gives its socket back when it does.
-func (p *Proxy) dropAttempt(d *attempt) {
-	d.finished = true
-	d.client.attempt = nil
-	d.cancelDial()
-	d.parser.Release()
-	if d.conn != nil {
-		p.closeConn(d.conn, d.cancelUnsentWrite())
+// dropAttempt releases the resources of an attempt that was not established. A dial still under way is cancelled, and
+// its descriptors are released when it returns.
+func (p *Proxy) dropAttempt(a *attempt) {
+	a.finished = true
+	a.client.attempt = nil
+	a.cancelDial()
+	a.parser.Release()
+	if a.conn != nil {
+		p.closeConn(a.conn, a.cancelUnsentWrite())
 	}
 }
 
-// cancelUnsentWrite sees to it that no more of the line goes out. Guards against a attempt that runs after it was given up: its
-// client may be gone, or another be out. A half line is none, and what is still in the buffer would be written at the close.
-func (d *attempt) cancelUnsentWrite() (cut bool) {
-	if cut = d.conn.OutboundBuffered() > 0; cut {
-		_ = syscall.Shutdown(d.conn.Fd(), syscall.SHUT_WR) // writes fail from now on; a failure says that they do
+// cancelUnsentWrite makes sure that the unwritten rest of the request line is never sent, and reports whether there was
+// any. Without it, closing would flush the buffer, and the server could run a request that was given up: the client may
+// be gone, or another attempt may be under way. Servers ignore an incomplete line.
+func (a *attempt) cancelUnsentWrite() (pending bool) {
+	if pending = a.conn.OutboundBuffered() > 0; pending {
+		_ = syscall.Shutdown(a.conn.Fd(), syscall.SHUT_WR) // later writes fail; if this fails, they fail anyway
 	}
-	return cut
+	return pending
 }
 
-// serverClosed tells how a attempt or a standing connection ended, and ends the client's side in the same way.
-func (p *Proxy) serverClosed(d *attempt, reset bool) {
-	if d.finished {
+// serverClosed handles the end of a server's connection: an attempt fails, and an established connection ends on the
+// client's side in the same way, by a reset or an ordinary close.
+func (p *Proxy) serverClosed(a *attempt, reset bool) {
+	if a.finished {
 		return
 	}
-	c := d.client
+	c := a.client
 	switch {
 	case c.request.WasEstablished():
 		by := byServer
-		if d.closeOutcome == logic.OK {
+		if a.closeOutcome == logic.OK {
 			by = byCompletion
 		}
 		p.endEstablished(c, by)
-		p.instance.DispatchEnded(p.now(), c.id, d.closeOutcome, true)
+		p.instance.DispatchEnded(p.now(), c.id, a.closeOutcome, true)
 		if reset {
 			p.closeConn(c.conn, true)
 		} else {
 			p.closeAnswered(c)
 		}
 	default:
-		p.failAttempt(d, d.outcomeIfWritten(logic.Reset))
+		p.failAttempt(a, a.outcomeIfWritten(logic.Reset))
 	}
 }
 
-// endEstablished is where a standing connection gives back what it has, but for the two sockets, which the caller
-// shuts.
+// endEstablished releases the resources of an established connection except for its two sockets, which the caller
+// closes. by is one of the reasons in trace.go.
 func (p *Proxy) endEstablished(c *client, by string) {
-	d := c.attempt
+	a := c.attempt
 	p.trace("ended", c, "by", by)
 	p.counters.CountClosed(by)
-	d.finished = true
-	d.server.establishedCount--
-	d.server.reports.ConnClosed(&c.reports)
-	d.parser.Release()
+	a.finished = true
+	a.server.establishedCount--
+	a.server.reports.ConnClosed(&c.reports)
+	a.parser.Release()
 	p.releaseClient(c)
 }
 
-// restoring is the wait before a connection that established before this proxy did is tried again at its server.
+// A client may name the server at which it was established before this proxy started; its connection is restored there.
 const (
+	// restoreRetryDelay is the wait before the next attempt to restore a connection.
 	restoreRetryDelay = 100 * millisecond
-	// maxRestoreTime is as long as the protocol has all such connections come up at the start.
+	// maxRestoreTime is how long the protocol allows after the start for all such connections to be restored.
 	maxRestoreTime = 40 * second
 )
 
-// restoreConnection takes a connection back to the server where it was open before this proxy was.
+// restoreConnection starts an attempt at the server where the client was established before this proxy started. It
+// waits for the server to appear on the list, and gives up at the client's hard limit, or after requestTimeout if the
+// list has arrived without that server.
 func (p *Proxy) restoreConnection(c *client) {
 	now := p.now()
 	switch {
@@ -338,7 +350,7 @@
 	case now >= c.attachment.HardLimit:
 		p.answerAndClose(c, telemetry.Errored, protocol.FailedLine, c.failureReason())
 	case p.servers[discovery.ServerID(c.parser.ResumeServer)] == nil && p.ready && now-c.attachment.ArrivedAt > requestTimeout:
-		p.answerAndClose(c, telemetry.Errored, protocol.FailedLine, "not listed") // the list has been had, and such a server is not on it
+		p.answerAndClose(c, telemetry.Errored, protocol.FailedLine, "not listed") // the list has arrived, and the server is not on it
 	case p.servers[discovery.ServerID(c.parser.ResumeServer)] == nil:
 		p.scheduleAfter(restoreRetryDelay, func() { p.restoreConnection(c) })
 	default:
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -19,57 +19,59 @@
 	"hatchproxy/logic"
 )
 
-// client is an accepted connection and what came of it. It owns its socket and its attempt.
+// client is an accepted connection, with its request and its current attempt. It owns its socket and the attempt.
 type client struct {
 	conn            gnet.Conn
 	parser          protocol.Client
-	id              logic.AttachmentID // 0 until it has asked
-	class           string             // what it asked for, once that is known to be offered
+	id              logic.AttachmentID // 0 until its request is accepted
+	class           string             // the class it asked for; "" until that is known to be configured
 	attachment      *logic.Attachment
-	attempt         *attempt // on its way, or where the connection stands
+	attempt         *attempt // under way or established; nil if there is none
 	request         lifecycle.Request
 	lastOutcome     logic.Outcome // of its last attempt that ended
-	queue           *list.List    // the proxy's silent or done, while it stands in one of them
+	queue           *list.List    // the proxy's awaitingRequest or lingering while it is in one of them
 	queueElement    *list.Element
-	admitted        bool           // the gate has let it in, and is to be told when it leaves
-	unansweredAt    []logic.Micros // when the messages came that have not been answered
-	connectedAt     logic.Micros   // when it connected
-	inheritedSocket *os.File       // its socket as another process passed it on, until the loop has it
-	pendingInput    []byte         // what came for it from its server, or from itself, before the loop had it
+	admitted        bool           // the limiter counts it and must be told when it ends
+	unansweredAt    []logic.Micros // arrival times of its messages that the server has not answered yet
+	connectedAt     logic.Micros   // when it was accepted, also if a predecessor process did so
+	inheritedSocket *os.File       // its socket from a predecessor process, until the event loop has it
+	pendingInput    []byte         // bytes from its server or from itself that came before the event loop had its socket
 
-	reports loadreports.Conn
+	reports loadreports.Conn // its reported loads
 }
 
 const (
-	// requestTimeout is how long a connection may take for its whole first line, counted from accept: within 3 s it is
-	// owed an answer.
+	// requestTimeout is how long a client may take to send its whole first line, counted from accept: an answer is due
+	// within 3 s.
 	requestTimeout = 2500 * millisecond
-	// deadlineMargin is kept of a client's wait, which it counts from its sending: its line has been on the way, and
-	// the answer will be.
+	// deadlineMargin is subtracted from a client's timeout, which the client counts from when it sent the request: the
+	// request and the answer take time on the network.
 	deadlineMargin = 20 * millisecond
 )
 
-// clientOpened has a client's connection, which was accepted, or which the other process passed on.
+// clientOpened starts serving a client whose socket the event loop has just registered. The connection was accepted by
+// this process or taken over from a predecessor.
 func (p *Proxy) clientOpened(c *client, conn gnet.Conn) gnet.Action {
 	c.conn = conn
 	if c.request.HasEnded() {
-		return gnet.Close // its server has ended it meanwhile
+		return gnet.Close // its server has closed the connection meanwhile
 	}
-	early := c.pendingInput
+	pending := c.pendingInput
 	c.pendingInput = nil
 	switch {
 	case c.request.WasEstablished():
-		p.serverDataReceived(c.attempt, early)
+		p.serverDataReceived(c.attempt, pending)
 	case !p.ensureDescriptors(0):
 		p.socketRefusals++
 		p.refuse(c, reasonNoDescriptors)
 	default:
 		p.awaitRequest(c)
-		p.clientDataReceived(c, early)
+		p.clientDataReceived(c, pending)
 	}
 	return gnet.None
 }
 
+// awaitRequest waits for a client's first line and rejects the client after requestTimeout.
 func (p *Proxy) awaitRequest(c *client) {
 	c.joinQueue(&p.awaitingRequest)
 	p.scheduleAt(c.connectedAt+requestTimeout, func() {
@@ -79,12 +81,13 @@
 	})
 }
 
-// joinQueue puts a client at the end of a queue; it stands in one at most.
+// joinQueue moves a client to the end of a queue; it is in one queue at most.
 func (c *client) joinQueue(queue *list.List) {
 	c.leaveQueue()
 	c.queue, c.queueElement = queue, queue.PushBack(c)
 }
 
+// leaveQueue removes a client from its queue, if it is in one.
 func (c *client) leaveQueue() {
 	if c.queue != nil {
 		c.queue.Remove(c.queueElement)
@@ -92,61 +95,64 @@
 	}
 }
 
-// ensureDescriptors sees to it that n more descriptors are left. Guards against the hundreds that connect and say nothing, or do
-// not leave once they were answered: those that were answered first go first, then those that have been silent
-// longest. False where all descriptors are in use for requests.
+// ensureDescriptors makes room for n more descriptors by closing idle clients: first those that were answered and have
+// not left, then those that have sent no request, the oldest first. This keeps hundreds of idle connections from
+// blocking requests. It returns false if all descriptors are in use for requests.
 func (p *Proxy) ensureDescriptors(n int) bool {
 	for p.openSockets+n > p.maxSockets {
-		first := p.lingering.Front()
-		if first == nil {
-			first = p.awaitingRequest.Front()
+		oldest := p.lingering.Front()
+		if oldest == nil {
+			oldest = p.awaitingRequest.Front()
 		}
-		if first == nil {
+		if oldest == nil {
 			return false
 		}
-		c := first.Value.(*client)
+		c := oldest.Value.(*client)
 		c.leaveQueue()
 		if !c.request.HasEnded() {
 			p.sendAnswer(c, telemetry.Deferred, protocol.BusyLine(0), reasonNoDescriptors)
 		}
 		if isOpen(c.conn) {
 			discardInput(c.conn.Fd())
-			// At once, where gnet's own Close would wait for the loop's next turn. What ends here has nothing to tell.
+			// Closes at once; conn.Close would wait for the loop's next iteration. The error does not matter here.
 			_ = p.loop.Close(c.conn)
 		}
 	}
 	return true
 }
 
-// discardInput reads what has come on a connection that is about to be closed, and nobody will hear. Guards against a close over
-// unread bytes, which is a reset and may overtake the last word. A flood is not read to its end.
+// discardInput reads and drops the input of a connection that is about to be closed. Closing a socket with unread input
+// resets the connection, and the reset may overtake the final answer. It reads 64 KiB at most.
 func discardInput(fd int) {
-	var unheard [16 << 10]byte
+	var buf [16 << 10]byte
 	for range 4 {
-		if n, err := syscall.Read(fd, unheard[:]); n <= 0 || err != nil {
+		if n, err := syscall.Read(fd, buf[:]); n <= 0 || err != nil {
 			return
 		}
 	}
 }
 
+// Errors that a client is told in an `ERR` line.
 var (
 	errNoRequest    = errors.New("nothing was asked")
 	errUnknownClass = errors.New("the class is unknown")
 	errDuplicateID  = errors.New("this id is open")
 )
 
-func (p *Proxy) clientDataReceived(c *client, b []byte) {
-	for len(b) > 0 && !c.request.HasEnded() && !c.request.WasEstablished() {
-		var ev protocol.ClientEvent
-		ev, b = c.parser.Feed(b)
+// clientDataReceived parses bytes from a client: health checks and its request, and afterwards what is relayed to the
+// server.
+func (p *Proxy) clientDataReceived(c *client, data []byte) {
+	for len(data) > 0 && !c.request.HasEnded() && !c.request.WasEstablished() {
+		var event protocol.ClientEvent
+		event, data = c.parser.Feed(data)
 		c.request.SetPartialLine(c.parser.PartialLine() != nil)
-		switch ev {
+		switch event {
 		case protocol.ClientProbe:
-			word := protocol.NotReadyLine
+			line := protocol.NotReadyLine
 			if p.ready && (p.mode == serving || p.mode == leaving && p.hasSuccessor()) {
-				word = protocol.ReadyLine
+				line = protocol.ReadyLine
 			}
-			_, _ = c.conn.Write(word) // a failure comes as the end of the connection
+			_, _ = c.conn.Write(line) // a failed write is reported through OnClose
 		case protocol.ClientOpen:
 			p.requestArrived(c)
 		case protocol.ClientInvalid:
@@ -154,22 +160,22 @@
 			p.rejectInvalid(c, c.parser.Err)
 		}
 	}
-	if len(b) > 0 && c.request.WasEstablished() && !c.request.HasEnded() {
-		p.relayToServer(c, b)
+	if len(data) > 0 && c.request.WasEstablished() && !c.request.HasEnded() {
+		p.relayToServer(c, data)
 	}
 }
 
-// rejectInvalid answers a client that does not keep to the protocol. Guards against a log that grows with each: the pulse
-// tells how many there were.
-func (p *Proxy) rejectInvalid(c *client, why error) {
-	p.protocolErrors, p.lastProtocolError = p.protocolErrors+1, why
-	p.answerAndClose(c, telemetry.Errored, protocol.ErrorLine(why), "not the protocol")
+// rejectInvalid answers a client that violates the protocol. Such clients are only counted here, and tick logs the count
+// once a second, so that they cannot flood the log.
+func (p *Proxy) rejectInvalid(c *client, err error) {
+	p.protocolErrors, p.lastProtocolError = p.protocolErrors+1, err
+	p.answerAndClose(c, telemetry.Errored, protocol.ErrorLine(err), "not the protocol")
 }
 
-// requestArrived takes an attachment in hand.
+// requestArrived validates a client's request, applies the limits and hands it to the balancer as an attachment.
 func (p *Proxy) requestArrived(c *client) {
 	now := p.now()
-	offered, known := p.classes[c.parser.Product]
+	class, known := p.classes[c.parser.Product]
 	if known {
 		c.class = c.parser.Product
 	}
@@ -179,39 +185,39 @@
 		p.rejectInvalid(c, errUnknownClass)
 		return
 	case p.openIDs[c.parser.ID]:
-		// Guards against one that comes with another's id: servers turn it away, and would be judged by that.
+		// Servers reject a duplicate id, and the failure would be counted against them.
 		p.rejectInvalid(c, errDuplicateID)
 		return
 	case p.refuseRequests:
 		p.refuse(c, reasonLeaving)
 		return
-	case !p.ensureDescriptors(2): // a attempt takes two descriptors for a moment
+	case !p.ensureDescriptors(2): // an attempt needs two descriptors for a moment
 		p.socketRefusals++
 		p.refuse(c, reasonNoDescriptors)
 		return
 	}
-	if why, wait := p.admit(now, c); why != limits.Admitted {
-		p.answerAndClose(c, telemetry.Deferred, protocol.BusyLine(wait), "limit "+string(why))
+	if reason, wait := p.admit(now, c); reason != limits.Admitted {
+		p.answerAndClose(c, telemetry.Deferred, protocol.BusyLine(wait), "limit "+string(reason))
 		return
 	}
-	most := offered.hardLimit
+	maxWait := class.hardLimit
 	if c.parser.ResumeServer != "" {
-		most = maxRestoreTime
+		maxWait = maxRestoreTime
 	}
-	wait := min(cmp.Or(c.parser.Timeout, most), most)
+	wait := min(cmp.Or(c.parser.Timeout, maxWait), maxWait)
 	p.lastID++
 	c.id = p.lastID
 	p.openIDs[c.parser.ID] = true
 	c.attachment = &logic.Attachment{
-		ID: c.id, Product: offered.product, Group: c.parser.Group, Key: c.parser.Key, LoadHint: c.parser.LoadHint, Returning: c.parser.Returning,
+		ID: c.id, Product: class.product, Group: c.parser.Group, Key: c.parser.Key, LoadHint: c.parser.LoadHint, Returning: c.parser.Returning,
 		ArrivedAt: now, HardLimit: now + max(wait-deadlineMargin, wait/2),
 	}
 	p.clients[c.id] = c
-	effect := p.instance.Idempotency(offered.product)
+	idempotency := p.instance.Idempotency(class.product)
 	if c.parser.ResumeServer != "" {
-		effect = logic.Harmless // what established before goes back to where it was
+		idempotency = logic.Harmless // a restored connection may be tried again at its server
 	}
-	if err := c.request.Accept(effect, c.attachment.HardLimit); err != nil {
+	if err := c.request.Accept(idempotency, c.attachment.HardLimit); err != nil {
 		p.reportViolation(c, err)
 		return
 	}
@@ -224,17 +230,18 @@
 	p.instance.Arrived(now, c.attachment)
 }
 
-// admit asks the gate whether an attachment is let in. Connections that established before this proxy did always are.
+// admit asks the limiter whether a request may come in and, if not, returns the reason and after how long the client
+// may try again. Connections that are restored are always admitted.
 func (p *Proxy) admit(now logic.Micros, c *client) (limits.Reason, logic.Micros) {
 	if p.limiter == nil || c.parser.ResumeServer != "" {
 		return limits.Admitted, 0
 	}
-	why, wait := p.limiter.Admit(now, c.tenant(), addressKey(c.conn.RemoteAddr()), c.parser.Retry)
-	c.admitted = why == limits.Admitted
-	return why, wait
+	reason, wait := p.limiter.Admit(now, c.tenant(), addressKey(c.conn.RemoteAddr()), c.parser.Retry)
+	c.admitted = reason == limits.Admitted
+	return reason, wait
 }
 
-// tenant is whom a client's connections are counted for: its group, or itself.
+// tenant returns the key under which the limiter counts a client: its group, or its own key if it has no group.
 func (c *client) tenant() uint64 {
 	if c.parser.Group != 0 {
 		return uint64(c.parser.Group)
@@ -242,15 +249,15 @@
 	return uint64(c.parser.Key)
 }
 
-// addressKey is a number for where a client comes from, its port apart.
-func addressKey(a net.Addr) uint64 {
-	if at, tcp := a.(*net.TCPAddr); tcp {
-		return protocol.HashName(string(at.IP))
+// addressKey returns a hash of a client's IP address, without the port; 0 if it is not a TCP address.
+func addressKey(addr net.Addr) uint64 {
+	if tcpAddr, isTCP := addr.(*net.TCPAddr); isTCP {
+		return protocol.HashName(string(tcpAddr.IP))
 	}
 	return 0
 }
 
-// closeAnswered has a client leave that has had its last word.
+// closeAnswered closes the connection of a client that has its final answer.
 func (p *Proxy) closeAnswered(c *client) {
 	if isOpen(c.conn) {
 		c.joinQueue(&p.lingering)
@@ -258,7 +265,7 @@
 	}
 }
 
-// releaseClient is where a client's resources are given back, but for its socket, which the caller shuts.
+// releaseClient ends a request and releases its resources except for the socket, which the caller closes.
 func (p *Proxy) releaseClient(c *client) {
 	c.request.End()
 	c.parser.Release()
@@ -272,20 +279,21 @@
 	}
 }
 
-// abandon tells the decisions that a client is gone, and ends its attempt if one is out.
+// abandon tells the balancer that a client has left, and cancels its attempt if there is one.
 func (p *Proxy) abandon(c *client) {
 	if c.id == 0 {
 		return
 	}
 	now := p.now()
 	p.instance.ClientLeft(now, c.id)
-	if d := c.attempt; d != nil {
-		p.dropAttempt(d)
+	if a := c.attempt; a != nil {
+		p.dropAttempt(a)
 		p.instance.DispatchEnded(now, c.id, logic.Cancelled, true)
 	}
 }
 
-// clientClosed ends the server's side in the same way.
+// clientClosed handles the end of a client's connection: an established connection ends on the server's side in the
+// same way, by a reset or an ordinary close, and a pending request is abandoned.
 func (p *Proxy) clientClosed(c *client, reset bool) {
 	if c.request.HasEnded() {
 		return
@@ -305,55 +313,58 @@
 	p.abandon(c)
 }
 
-// PushBack answers that trying again is harmless.
-func (p *Proxy) PushBack(id logic.AttachmentID, in logic.Micros) {
+// PushBack tells a client that it may safely try again after the given time. It implements host.Executor.
+func (p *Proxy) PushBack(id logic.AttachmentID, retryAfter logic.Micros) {
 	if c := p.clients[id]; c != nil {
-		p.answerAndClose(c, telemetry.Deferred, protocol.BusyLine(in), c.failureReason())
+		p.answerAndClose(c, telemetry.Deferred, protocol.BusyLine(retryAfter), c.failureReason())
 	}
 }
 
-// GiveUp answers with no promise.
+// GiveUp fails a request without promising that it has not run. It implements host.Executor.
 func (p *Proxy) GiveUp(id logic.AttachmentID) {
 	if c := p.clients[id]; c != nil {
 		p.answerAndClose(c, telemetry.Errored, protocol.FailedLine, c.failureReason())
 	}
 }
 
-// closeConn ends a connection: what is still to be written goes out first, unless it is to be reset.
+// closeConn closes a connection after its buffered output is written, for which it waits up to a second, or resets it.
 func (p *Proxy) closeConn(conn gnet.Conn, reset bool) {
 	p.closeConnBy(conn, reset, p.now()+second)
 }
 
-func (p *Proxy) closeConnBy(conn gnet.Conn, reset bool, latest logic.Micros) {
+// closeConnBy is closeConn with the time at which it stops waiting for the output.
+func (p *Proxy) closeConnBy(conn gnet.Conn, reset bool, deadline logic.Micros) {
 	if !isOpen(conn) {
 		return
 	}
 	if reset {
 		_ = conn.SetLinger(0)
-	} else if conn.OutboundBuffered() > 0 && p.now() < latest {
-		p.scheduleAfter(10*millisecond, func() { p.closeConnBy(conn, false, latest) })
+	} else if conn.OutboundBuffered() > 0 && p.now() < deadline {
+		p.scheduleAfter(10*millisecond, func() { p.closeConnBy(conn, false, deadline) })
 		return
 	}
 	_ = conn.Close()
 }
 
-// closeGracefully ends a connection after the last word to the other side: it ends the sending, and closes once that side has, or
-// after a second. Guards against a reset for what that side still sends, which may overtake the word.
-func (p *Proxy) closeGracefully(conn gnet.Conn, latest logic.Micros) {
+// closeGracefully closes a connection after the last line to the peer: it shuts down writing once the output is written
+// or the deadline has passed, and closes when the peer has closed or after a second. An immediate close would reset the
+// connection if the peer still sends, and the reset may overtake the last line.
+func (p *Proxy) closeGracefully(conn gnet.Conn, deadline logic.Micros) {
 	switch {
 	case !isOpen(conn):
-	case conn.OutboundBuffered() > 0 && p.now() < latest:
-		p.scheduleAfter(10*millisecond, func() { p.closeGracefully(conn, latest) })
+	case conn.OutboundBuffered() > 0 && p.now() < deadline:
+		p.scheduleAfter(10*millisecond, func() { p.closeGracefully(conn, deadline) })
 	default:
-		_ = syscall.Shutdown(conn.Fd(), syscall.SHUT_WR) // a failure comes as the end of the connection
+		_ = syscall.Shutdown(conn.Fd(), syscall.SHUT_WR) // a failure is reported through OnClose
 		p.scheduleAfter(second, func() { p.closeConn(conn, false) })
 	}
 }
 
-// isOpen tells whether gnet still holds a connection: it forgets the context of one that it has closed.
+// isOpen reports whether gnet still holds a connection: it clears the context of a connection that it has closed.
 func isOpen(conn gnet.Conn) bool { return conn != nil && conn.Context() != nil }
 
-// isReset tells whether a connection broke: by a reset, or since nothing reaches the other side (ETIMEDOUT, EHOSTUNREACH).
+// isReset reports whether a connection broke rather than ended: by a reset, or because the peer cannot be reached
+// (ETIMEDOUT, EHOSTUNREACH).
 func isReset(err error) bool {
 	return err != nil && !errors.Is(err, io.EOF)
 }
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -19,47 +19,51 @@
 	"hatchproxy/logic"
 )
 
-// handover is what a proxy has whose listening socket is the platform's: it is one of two processes now and then.
+// handover is the state of a proxy whose listening socket was inherited. During a restart two processes share that socket:
+// the predecessor hands its connections over to the successor.
 type handover struct {
-	folder            string // where the two find each other; "" for nowhere
-	successorListener *succession.Listener
-	predecessor       *succession.Conn // to the process that ran already; nil if there is none
-	successor         *succession.Conn // to the one that has come to take this one's place
-	successorReady    bool             // the successor can serve
+	folder            string               // holds the Unix socket by which the two find each other; "" for no handover
+	successorListener *succession.Listener // accepts a successor; nil while there is none
+	predecessor       *succession.Conn     // to the process that ran before; nil if there is none
+	successor         *succession.Conn     // to the process that is to replace this one; nil if there is none
+	successorReady    bool                 // the successor accepts clients and can be handed connections
 }
 
-// InheritListener has the proxy accept on a listening socket that it was given, and pass on what it holds to the next
-// process, which finds it in the folder. It is to be called before Run.
+// InheritListener makes the proxy accept on an inherited listening TCP socket and, when it leaves, hand its clients over to
+// the next process, which finds it through the folder ("" for no handover). It takes over the descriptor, fails if that
+// is not a listening TCP socket, and must be called before Run.
 func (p *Proxy) InheritListener(fd int, folder string) error {
 	f := os.NewFile(uintptr(fd), "listener")
 	if f == nil {
-		return fmt.Errorf("descriptor %d is none", fd)
+		return fmt.Errorf("descriptor %d is not valid", fd)
 	}
 	defer f.Close()
 	var l net.Listener
 	ctx, cancel := context.WithTimeout(context.Background(), loopStartTimeout)
 	defer cancel()
-	wait := transient.Backoff{Initial: 2 * time.Millisecond, Max: 100 * time.Millisecond}
-	err := transient.Retry(ctx, wait, transient.IsResourceShortage, func() (err error) {
+	backoff := transient.Backoff{Initial: 2 * time.Millisecond, Max: 100 * time.Millisecond}
+	err := transient.Retry(ctx, backoff, transient.IsResourceShortage, func() (err error) {
 		l, err = net.FileListener(f)
 		return err
 	})
 	if err != nil {
 		return fmt.Errorf("descriptor %d: %w", fd, err)
 	}
-	tcp, isTCP := l.(*net.TCPListener)
-	if !isTCP {
+	tcp, ok := l.(*net.TCPListener)
+	if !ok {
 		_ = l.Close()
-		return fmt.Errorf("descriptor %d listens for %s, not for TCP", fd, l.Addr().Network())
+		return fmt.Errorf("descriptor %d listens on %s, not on TCP", fd, l.Addr().Network())
 	}
 	p.handover = &handover{folder: folder}
 	return p.createAcceptor(tcp)
 }
 
-// startAccepting takes connections in until it is told to stop; what comes later waits for whoever accepts next.
+// startAccepting accepts clients on the inherited socket, once the proxy is ready, and tells a predecessor so. Connections
+// that arrive while neither process accepts wait in the socket's backlog. It does nothing if the listener is the
+// proxy's own.
 func (p *Proxy) startAccepting() {
 	h := p.handover
-	// Guards against two at the door: each answer of the list comes here.
+	// This runs after each answer with the server list; without the check both processes would accept.
 	if h == nil || !p.acceptor.Paused() || h.successorReady || p.mode == leaving || !p.ready {
 		return
 	}
@@ -70,32 +74,33 @@
 	}
 }
 
-// listenForSuccessor has the next process find this one.
+// listenForSuccessor lets the next process find this one through the handover folder.
 func (p *Proxy) listenForSuccessor() {
 	h := p.handover
 	if h.successorListener != nil || h.folder == "" || p.mode == leaving || p.acceptor.Paused() {
 		return
 	}
-	seat, err := succession.Listen(h.folder, p.log, func(c *succession.Conn) { p.post(func() { p.successorConnected(c) }) })
+	listener, err := succession.Listen(h.folder, p.log, func(c *succession.Conn) { p.post(func() { p.successorConnected(c) }) })
 	if err != nil {
-		// A folder that heals is used again: a process that comes in its time finds this one.
-		p.log.Warn("the next process does not find this one yet", "error", err)
+		// Retried, so that a successor finds this process once the folder works again.
+		p.log.Warn("cannot listen for a successor process; retrying", "error", err)
 		p.scheduleAfter(successorListenRetryDelay, p.listenForSuccessor)
 		return
 	}
-	h.successorListener = seat
+	h.successorListener = listener
 }
 
-// successorListenRetryDelay is the wait before a folder that failed is tried again.
+// successorListenRetryDelay is the wait before listening for a successor is tried again after an error.
 const successorListenRetryDelay = 2 * second
 
+// stopAccepting leaves new connections on an inherited socket to the successor.
 func (p *Proxy) stopAccepting() {
 	if p.handover != nil {
 		p.acceptor.Pause()
 	}
 }
 
-// close gives back all that belongs to the succession.
+// close releases the listener for a successor and the connections to the other processes.
 func (h *handover) close() {
 	if h.successorListener != nil {
 		h.successorListener.Close()
@@ -107,88 +112,92 @@
 	}
 }
 
-// packet is what the two processes tell each other, one thing in each.
+// packet is the JSON message between predecessor and successor; each carries one field. The processes may be of different
+// versions, so the JSON names must not change.
 type packet struct {
-	Ready             bool               `json:",omitempty"`        // from the successor: it can serve
-	Established       *establishedConn   `json:"Stands,omitempty"`  // with a client's socket and its server's
-	IncompleteRequest *incompleteRequest `json:"Unasked,omitempty"` // with a client's socket
+	Ready             bool               `json:",omitempty"`        // from the successor: it accepts clients
+	Established       *establishedConn   `json:"Stands,omitempty"`  // comes with the client's socket and the server's
+	IncompleteRequest *incompleteRequest `json:"Unasked,omitempty"` // comes with the client's socket
 
-	Memory     *logic.Snapshot `json:",omitempty"` // a part of what the decisions know; the last part has the rest of it
-	Evacuating bool            `json:",omitempty"` // clients are being sent away
-	Rejoined   bool            `json:",omitempty"` // and no longer are
+	Memory     *logic.Snapshot `json:",omitempty"` // a part of the balancer's state; the servers are spread over several packets
+	Evacuating bool            `json:",omitempty"` // the predecessor evacuates: it moves its clients away
+	Rejoined   bool            `json:",omitempty"` // the evacuation has ended
 }
 
-// maxServersPerPacket is how many servers a packet tells of: some 300 bytes each.
+// maxServersPerPacket is how many servers a packet describes at most, with some 300 bytes each.
 const maxServersPerPacket = 40
 
-// establishedConn is an open connection.
+// establishedConn describes an established connection that is handed over.
 type establishedConn struct {
-	ID            uint64
+	ID            uint64 // the client's request id
 	Key           logic.ClientKey
 	Group         logic.GroupID
 	Class         string
-	Server        string
-	Load          float64
+	Server        string         // its name in the server list
+	Load          float64        // as last reported by the server; 0 if it was not
 	EstablishedAt logic.Micros   `json:"Since"`
-	UnansweredAt  []logic.Micros `json:"Sent"`
+	UnansweredAt  []logic.Micros `json:"Sent"` // arrival times of the client's messages without an answer yet
 }
 
-// incompleteRequest is a client that has not said all of its first line.
+// incompleteRequest describes a client that has not sent its whole first line.
 type incompleteRequest struct {
-	Received    []byte       `json:"Said"`
+	Received    []byte       `json:"Said"` // the part of the line that has arrived
 	ConnectedAt logic.Micros `json:"Came"`
 }
 
-func (p *Proxy) sendPacket(to *succession.Conn, what packet, files ...int) bool {
-	text, err := json.Marshal(what)
+// sendPacket sends a packet with descriptors, which stay the caller's. It logs an error and returns false.
+func (p *Proxy) sendPacket(to *succession.Conn, message packet, files ...int) bool {
+	text, err := json.Marshal(message)
 	if err == nil {
 		err = to.Send(text, files...)
 	}
 	if err != nil {
-		p.log.Warn("the other process does not hear", "error", err)
+		p.log.Warn("cannot send to the other process", "error", err)
 	}
 	return err == nil
 }
 
-// successorConnected notes a process that has come to take this one's place. The last to come counts.
+// successorConnected handles a process that is to replace this one, and receives its packets. If another successor was
+// connected before, the last one counts.
 func (p *Proxy) successorConnected(c *succession.Conn) {
 	h := p.handover
 	if h.successor != nil {
 		h.successor.Close()
 	}
 	h.successor, h.successorReady = c, false
-	p.log.Info("another process has come")
+	p.log.Info("a successor process connected")
 	go func() {
 		for {
 			text, files, err := c.Receive()
-			var said packet
+			var message packet
 			if err == nil {
-				err = json.Unmarshal(text, &said)
+				err = json.Unmarshal(text, &message)
 			}
 			for _, f := range files {
-				_ = f.Close() // it has nothing to pass on
+				_ = f.Close() // a successor hands over no sockets
 			}
 			if err != nil {
 				p.post(func() { p.successorGone(c) })
 				return
 			}
-			if said.Ready {
+			if message.Ready {
 				p.post(func() { p.successorReady(c) })
 			}
 		}
 	}()
 }
 
-// successorReady leaves the door to the successor: two that place at once would each spend the whole cold budget.
+// successorReady leaves new clients to the successor, and sends it the balancer's state and the current mode. If both
+// processes placed requests at once, each would use the whole budget for cold servers.
 func (p *Proxy) successorReady(c *succession.Conn) {
 	if h := p.handover; h.successor == c {
 		h.successorReady = true
 		p.stopAccepting()
-		p.log.Info("the other process serves")
-		all := p.instance.Snapshot()
-		for rest := all.Servers; ; rest = rest[len(all.Servers):] {
-			all.Servers = rest[:min(maxServersPerPacket, len(rest))]
-			if !p.sendPacket(c, packet{Memory: &all}) || len(all.Servers) == len(rest) {
+		p.log.Info("the successor process is ready")
+		snapshot := p.instance.Snapshot()
+		for rest := snapshot.Servers; ; rest = rest[len(snapshot.Servers):] {
+			snapshot.Servers = rest[:min(maxServersPerPacket, len(rest))]
+			if !p.sendPacket(c, packet{Memory: &snapshot}) || len(snapshot.Servers) == len(rest) {
 				break
 			}
 		}
@@ -196,21 +205,22 @@
 		case evacuating:
 			p.tellSuccessor(packet{Evacuating: true})
 		case leaving:
-			// Guards against the word to leave that overtakes the successor's: all clients were moved, with one there to take them.
-			_, sweep := p.leaveSpans()
-			p.handOverAll(p.modeGeneration, sweep)
+			// The signal to leave may arrive before the successor is ready; the clients are still handed over instead of moved.
+			_, moveSpan := p.leaveSpans()
+			p.handOverAll(p.modeGeneration, moveSpan)
 		}
 	}
 }
 
-// tellSuccessor passes an order on: until SIGTERM operators may call either process, and the two are one proxy.
-func (p *Proxy) tellSuccessor(order packet) {
+// tellSuccessor passes an evacuation or its end on to a successor: the two processes are one proxy, and until SIGTERM
+// operators may call either of them.
+func (p *Proxy) tellSuccessor(message packet) {
 	if p.hasSuccessor() {
-		p.sendPacket(p.handover.successor, order)
+		p.sendPacket(p.handover.successor, message)
 	}
 }
 
-// successorGone has this process serve on, or leave as if there had been no other.
+// successorGone makes this process serve on, or leave as if there had been no successor.
 func (p *Proxy) successorGone(c *succession.Conn) {
 	c.Close()
 	h := p.handover
@@ -218,30 +228,31 @@
 		return
 	}
 	h.successor, h.successorReady = nil, false
-	p.log.Warn("the other process has gone")
-	old := h.successorListener // the name may be that one's
+	p.log.Warn("the successor process disconnected")
+	oldListener := h.successorListener // the name of its socket may belong to the successor now
 	h.successorListener = nil
 	p.startAccepting()
 	if !p.acceptor.Paused() {
-		// Guards against a successor that ends before it serves: the door was never left, but the seat was, and the
-		// process after it would find nobody. The new seat comes before the old one goes, so that there always is one.
+		// A successor that ends before it is ready may have taken over the socket's name, so that the next successor would
+		// find nobody. The new listener starts before the old one closes, so that there always is one.
 		p.listenForSuccessor()
 	}
-	if old != nil {
-		old.CloseGracefully()
+	if oldListener != nil {
+		oldListener.CloseGracefully()
 	}
 }
 
-// hasSuccessor tells that another process takes over what this one holds.
+// hasSuccessor reports whether a successor is ready to take over this process's connections.
 func (p *Proxy) hasSuccessor() bool { return p.handover != nil && p.handover.successorReady }
 
-// handOverAll hands over what can be handed over now, and comes again for the rest; it ends when nothing is left.
-func (p *Proxy) handOverAll(turn int, sweep logic.Micros) {
-	if p.modeGeneration != turn || p.movedGeneration == turn {
+// handOverAll hands over the connections that can be handed over now and repeats this every 10 ms. It ends when no
+// connection is left or the mode has changed. If the successor is gone, the clients are moved within moveSpan.
+func (p *Proxy) handOverAll(generation int, moveSpan logic.Micros) {
+	if p.modeGeneration != generation || p.movedGeneration == generation {
 		return
 	}
 	if !p.hasSuccessor() {
-		p.startMoving(turn, sweep)
+		p.startMoving(generation, moveSpan)
 		return
 	}
 	for e := p.awaitingRequest.Front(); e != nil && p.hasSuccessor(); {
@@ -249,61 +260,63 @@
 		e = e.Next()
 		p.handOverIncompleteRequest(c)
 	}
-	passed := 0
+	handedOver := 0
 	for _, c := range p.establishedClients() {
-		if p.hasSuccessor() && passed < handOverBatch && p.handOverEstablished(c) {
-			passed++
+		if p.hasSuccessor() && handedOver < handOverBatch && p.handOverEstablished(c) {
+			handedOver++
 		}
 	}
 	if len(p.clients) == 0 && p.awaitingRequest.Len() == 0 && p.lingering.Len() == 0 {
 		p.quit()
 		return
 	}
-	p.scheduleAfter(10*millisecond, func() { p.handOverAll(turn, sweep) })
+	p.scheduleAfter(10*millisecond, func() { p.handOverAll(generation, moveSpan) })
 }
 
-// handOverBatch is how many are handed over in one go. Guards against descriptors that pile up between the two.
+// handOverBatch is how many established connections are handed over at a time, so that descriptors don't pile up between
+// the two processes.
 const handOverBatch = 32
 
-// handOverEstablished hands an open connection over, between two lines and with nothing unsent. Guards against bytes that
-// would be lost or come in another order.
+// handOverEstablished hands an established connection over to the successor and reports whether it did. It does so only
+// between two lines and with no unsent output, so that no bytes are lost or reordered.
 func (p *Proxy) handOverEstablished(c *client) bool {
-	d := c.attempt
-	if c.conn == nil || d.conn == nil || !d.parser.AtLineStart() || c.conn.OutboundBuffered() > 0 || d.conn.OutboundBuffered() > 0 {
+	a := c.attempt
+	if c.conn == nil || a.conn == nil || !a.parser.AtLineStart() || c.conn.OutboundBuffered() > 0 || a.conn.OutboundBuffered() > 0 {
 		return false
 	}
-	own, err := c.conn.Dup()
+	clientFD, err := c.conn.Dup()
 	if err != nil {
 		return false
 	}
-	defer syscall.Close(own)
-	servers, err := d.conn.Dup()
+	defer syscall.Close(clientFD)
+	serverFD, err := a.conn.Dup()
 	if err != nil {
 		return false
 	}
-	defer syscall.Close(servers)
-	told := packet{Established: &establishedConn{c.parser.ID, c.parser.Key, c.parser.Group, c.class, d.server.uid, c.reports.Load, c.reports.EstablishedAt, c.unansweredAt}}
-	if !p.sendPacket(p.handover.successor, told, own, servers) {
-		p.handover.successorReady = false // it hears nothing: its end will be noticed, and the rest are moved
+	defer syscall.Close(serverFD)
+	message := packet{Established: &establishedConn{c.parser.ID, c.parser.Key, c.parser.Group, c.class, a.server.uid, c.reports.Load, c.reports.EstablishedAt, c.unansweredAt}}
+	if !p.sendPacket(p.handover.successor, message, clientFD, serverFD) {
+		p.handover.successorReady = false // its disconnection will be noticed, and the other clients are moved
 		return false
 	}
 	p.endEstablished(c, bySuccessor)
 	p.instance.ClientLeft(p.now(), c.id)
 	p.closeLocally(c.conn)
-	p.closeLocally(d.conn)
+	p.closeLocally(a.conn)
 	return true
 }
 
+// handOverIncompleteRequest hands a client that has not sent its whole first line over to the successor.
 func (p *Proxy) handOverIncompleteRequest(c *client) {
 	if c.conn.OutboundBuffered() > 0 {
 		return
 	}
-	own, err := c.conn.Dup()
+	clientFD, err := c.conn.Dup()
 	if err != nil {
 		return
 	}
-	defer syscall.Close(own)
-	if !p.sendPacket(p.handover.successor, packet{IncompleteRequest: &incompleteRequest{c.parser.PartialLine(), c.connectedAt}}, own) {
+	defer syscall.Close(clientFD)
+	if !p.sendPacket(p.handover.successor, packet{IncompleteRequest: &incompleteRequest{c.parser.PartialLine(), c.connectedAt}}, clientFD) {
 		p.handover.successorReady = false
 		return
 	}
@@ -312,10 +325,10 @@
 	p.closeLocally(c.conn)
 }
 
-// closeLocally closes this process's descriptor of a connection that goes on elsewhere.
+// closeLocally closes this process's descriptor of a connection that another process continues.
 func (p *Proxy) closeLocally(conn gnet.Conn) { _ = p.loop.Close(conn) }
 
-// findPredecessor looks for a process that runs already. It is called before this one can be found in its place.
+// findPredecessor connects to a process that runs already. It must be called before this process listens for a successor.
 func (p *Proxy) findPredecessor() {
 	h := p.handover
 	if h.folder == "" {
@@ -323,13 +336,13 @@
 	}
 	c, err := succession.Dial(h.folder)
 	if err != nil {
-		p.log.Info("no process is found to take over from", "why", err)
+		p.log.Info("found no predecessor process to take over from", "why", err)
 		return
 	}
 	h.predecessor = c
 }
 
-// receiveFromPredecessor hears what it passes on.
+// receiveFromPredecessor receives the predecessor's packets in the background, if there is one.
 func (p *Proxy) receiveFromPredecessor() {
 	c := p.handover.predecessor
 	if c == nil {
@@ -343,50 +356,50 @@
 				p.post(func() { p.handover.predecessor = nil })
 				return
 			}
-			var said packet
-			if err := json.Unmarshal(text, &said); err != nil {
-				p.log.Warn("what the other process says means nothing", "error", err)
+			var message packet
+			if err := json.Unmarshal(text, &message); err != nil {
+				p.log.Warn("invalid packet from the predecessor process", "error", err)
 			}
-			p.post(func() { p.takeOver(said, files) })
+			p.post(func() { p.takeOver(message, files) })
 		}
 	}()
 }
 
-// takeOver takes a connection in that the other process has let go.
-func (p *Proxy) takeOver(said packet, conns []*os.File) {
+// takeOver handles a packet from the predecessor. It owns the files.
+func (p *Proxy) takeOver(message packet, files []*os.File) {
 	switch {
-	case said.Memory != nil:
-		p.instance.Restore(*said.Memory)
-	case said.Evacuating:
+	case message.Memory != nil:
+		p.instance.Restore(*message.Memory)
+	case message.Evacuating:
 		p.evacuate()
-	case said.Rejoined:
+	case message.Rejoined:
 		p.rejoin()
-	case said.IncompleteRequest != nil && len(conns) == 1:
-		p.registerInBackground(&client{connectedAt: said.IncompleteRequest.ConnectedAt, pendingInput: said.IncompleteRequest.Received}, conns[0], protocol.BusyLine(0))
-	case said.Established != nil && len(conns) == 2:
-		p.resumeEstablished(said.Established, conns[0], conns[1])
+	case message.IncompleteRequest != nil && len(files) == 1:
+		p.registerInBackground(&client{connectedAt: message.IncompleteRequest.ConnectedAt, pendingInput: message.IncompleteRequest.Received}, files[0], protocol.BusyLine(0))
+	case message.Established != nil && len(files) == 2:
+		p.resumeEstablished(message.Established, files[0], files[1])
 	default:
-		for _, conn := range conns {
-			_ = conn.Close()
+		for _, file := range files {
+			_ = file.Close()
 		}
 	}
 }
 
-// registerInBackground has the loop take a connection whose side is known already. One that it cannot take is ended with a word, which
-// only a client hears.
-func (p *Proxy) registerInBackground(side any, conn *os.File, word []byte) {
+// registerInBackground registers a connection that was taken over with the event loop. If that fails, the connection is
+// closed after rejectLine, which is nil for a server's. The file is closed in any case.
+func (p *Proxy) registerInBackground(side any, file *os.File, rejectLine []byte) {
 	go func() {
-		if p.registerFile(side, conn) == nil {
-			_ = conn.Close()
+		if p.registerFile(side, file) == nil {
+			_ = file.Close()
 			return
 		}
-		if err := p.registerWithRetry(side, conn, word); err != nil && p.ctx.Err() == nil {
+		if err := p.registerWithRetry(side, file, rejectLine); err != nil && p.ctx.Err() == nil {
 			p.post(func() { p.registrationFailed(side) })
 		}
 	}()
 }
 
-// registrationFailed ends the other side of a connection that the loop could not take.
+// registrationFailed ends the other side of a connection that could not be registered with the event loop.
 func (p *Proxy) registrationFailed(side any) {
 	switch side := side.(type) {
 	case *client:
@@ -396,7 +409,8 @@
 	}
 }
 
-// serverResumed has a server's side; the client's comes next, so that there is somebody to send its bytes to.
+// serverResumed completes the server side of a connection that was taken over, and then registers the client's socket, so
+// that the client's bytes have somewhere to go.
 func (p *Proxy) serverResumed(c *client, conn gnet.Conn) gnet.Action {
 	if c.request.HasEnded() {
 		_ = c.inheritedSocket.Close()
@@ -409,33 +423,33 @@
 	return gnet.None
 }
 
-// resumeEstablished takes an open connection in, its server's side first.
-func (p *Proxy) resumeEstablished(s *establishedConn, own, servers *os.File) {
-	to := p.servers[discovery.ServerID(s.Server)]
-	if to == nil || p.openIDs[s.ID] {
-		// Its server is none of the list's: the client comes again, and is told so.
-		rejectFile(own, protocol.MoveLine)
-		_ = own.Close()
-		_ = servers.Close()
+// resumeEstablished takes over an established connection from the predecessor, its server side first.
+func (p *Proxy) resumeEstablished(info *establishedConn, clientFile, serverFile *os.File) {
+	server := p.servers[discovery.ServerID(info.Server)]
+	if server == nil || p.openIDs[info.ID] {
+		// The server is not on this process's list, or the id is in use: the client is told to connect again.
+		rejectFile(clientFile, protocol.MoveLine)
+		_ = clientFile.Close()
+		_ = serverFile.Close()
 		return
 	}
 	now := p.now()
-	c := &client{class: s.Class, unansweredAt: s.UnansweredAt, connectedAt: now, inheritedSocket: own}
+	c := &client{class: info.Class, unansweredAt: info.UnansweredAt, connectedAt: now, inheritedSocket: clientFile}
 	c.request.Resume()
-	c.parser.ID, c.parser.Key, c.parser.Group, c.parser.Product = s.ID, s.Key, s.Group, s.Class
-	c.reports = loadreports.Conn{EstablishedAt: s.EstablishedAt, Load: s.Load}
-	d := &attempt{client: c, server: to, startedAt: now, deadline: now, closeOutcome: logic.Reset, cancelDial: func() {}}
-	d.parser.Resume()
-	c.attempt = d
+	c.parser.ID, c.parser.Key, c.parser.Group, c.parser.Product = info.ID, info.Key, info.Group, info.Class
+	c.reports = loadreports.Conn{EstablishedAt: info.EstablishedAt, Load: info.Load}
+	a := &attempt{client: c, server: server, startedAt: now, deadline: now, closeOutcome: logic.Reset, cancelDial: func() {}}
+	a.parser.Resume()
+	c.attempt = a
 	p.lastID++
 	c.id = p.lastID
-	p.openIDs[s.ID] = true
-	c.attachment = &logic.Attachment{ID: c.id, Product: p.classes[s.Class].product, Group: s.Group, Key: s.Key, Returning: true, ArrivedAt: now, HardLimit: now}
+	p.openIDs[info.ID] = true
+	c.attachment = &logic.Attachment{ID: c.id, Product: p.classes[info.Class].product, Group: info.Group, Key: info.Key, Returning: true, ArrivedAt: now, HardLimit: now}
 	p.clients[c.id] = c
-	to.establishedCount++
-	p.instance.ConnectionResumed(now, c.attachment, to.id)
-	if s.Load > 0 {
-		p.instance.LoadChanged(now, c.id, s.Load)
+	server.establishedCount++
+	p.instance.ConnectionResumed(now, c.attachment, server.id)
+	if info.Load > 0 {
+		p.instance.LoadChanged(now, c.id, info.Load)
 	}
-	p.registerInBackground(d, servers, nil)
+	p.registerInBackground(a, serverFile, nil)
 }
--- a/internal/proxy/schedule.go
+++ b/internal/proxy/schedule.go
@@ -7,41 +7,45 @@
 	"hatchproxy/logic"
 )
 
+// Shorthands for spans in microseconds.
 const (
 	millisecond = logic.Millisecond
 	second      = logic.Second
 )
 
-// scheduledCall is a call that waits for its time.
+// scheduledCall is a function that the event loop calls at a given time.
 type scheduledCall struct {
 	at       logic.Micros
-	sequence int // settles ties, and where it stands in the heap
+	sequence int // orders calls for the same time, and identifies the call
 	call     func()
 }
 
+// callHeap holds the scheduled calls, the earliest first. It implements heap.Interface.
 type callHeap struct {
 	calls        []scheduledCall
 	lastSequence int
 }
 
-func (d *callHeap) Len() int { return len(d.calls) }
-func (d *callHeap) Less(i, j int) bool {
-	a, b := d.calls[i], d.calls[j]
+func (h *callHeap) Len() int { return len(h.calls) }
+func (h *callHeap) Less(i, j int) bool {
+	a, b := h.calls[i], h.calls[j]
 	return a.at < b.at || a.at == b.at && a.sequence < b.sequence
 }
-func (d *callHeap) Swap(i, j int) { d.calls[i], d.calls[j] = d.calls[j], d.calls[i] }
-func (d *callHeap) Push(x any)    { d.calls = append(d.calls, x.(scheduledCall)) }
-func (d *callHeap) Pop() any {
-	last := len(d.calls) - 1
-	x := d.calls[last]
-	d.calls[last] = scheduledCall{}
-	d.calls = d.calls[:last]
+func (h *callHeap) Swap(i, j int) { h.calls[i], h.calls[j] = h.calls[j], h.calls[i] }
+func (h *callHeap) Push(x any)    { h.calls = append(h.calls, x.(scheduledCall)) }
+func (h *callHeap) Pop() any {
+	last := len(h.calls) - 1
+	x := h.calls[last]
+	h.calls[last] = scheduledCall{}
+	h.calls = h.calls[:last]
 	return x
 }
 
+// scheduleAfter makes the event loop run a call after a span.
 func (p *Proxy) scheduleAfter(wait logic.Micros, call func()) { p.scheduleAt(p.now()+wait, call) }
 
-// scheduleAt has the loop run a call at a time. A call that has lost its sense by then must find that out.
+// scheduleAt makes the event loop run a call at a given time. A call cannot be cancelled: it must check by itself
+// whether it still applies.
 func (p *Proxy) scheduleAt(at logic.Micros, call func()) {
 	p.scheduledCalls.lastSequence++
 	heap.Push(&p.scheduledCalls, scheduledCall{at, p.scheduledCalls.lastSequence, call})
@@ -50,7 +54,7 @@
 	}
 }
 
-// resetTimer sets the one timer to the earliest due time.
+// resetTimer sets the wake-up timer, of which there is one, to the time of the earliest scheduled call.
 func (p *Proxy) resetTimer() {
 	if p.loop == nil || len(p.scheduledCalls.calls) == 0 {
 		return
@@ -63,6 +67,7 @@
 	p.wakeTimer.Reset(wait)
 }
 
+// runDueCalls runs the calls whose time has come.
 func (p *Proxy) runDueCalls() {
 	for now := p.now(); len(p.scheduledCalls.calls) > 0 && p.scheduledCalls.calls[0].at <= now; {
 		heap.Pop(&p.scheduledCalls).(scheduledCall).call()
--- a/internal/proxy/serverlist.go
+++ b/internal/proxy/serverlist.go
@@ -11,34 +11,38 @@
 )
 
 const (
-	// A service that has fallen silent counts as having told what has changed so long after its last word, and so long
-	// after the wait of a watch is over, whichever is later. Both are the protocol's.
+	// The protocol defines when a change of the list counts as delivered, whether or not the discovery service has sent
+	// it: silenceDeliveryLimit after the service's last answer or waitDeliveryLimit after the end of the long poll that is
+	// open then, whichever is later.
 	silenceDeliveryLimit = 6 * second
 	waitDeliveryLimit    = 2 * second
-	// A new configuration's list counts as told so long after it; the protocol's, too.
+	// newServiceDeliveryLimit is how long after a new configuration the list of the discovery service that it names counts
+	// as delivered; the protocol defines this, too.
 	newServiceDeliveryLimit = 4 * second
-	// agentRetryDelay is the wait before an agent is called again that could not be: what it has when it is back counts at once,
-	// and calls to an agent of one's own are dear to nobody.
+	// agentRetryDelay is the wait before the next call to an agent after a failed one. It is short: an agent's changes
+	// count as delivered as soon as it can be reached, and calls to the proxy's own agent are cheap.
 	agentRetryDelay = 100 * millisecond
 )
 
-// listFreshness is how far the list may be trusted. The pages count changes as told at times of their own, whether or not they were
-// heard; from then on, and the stated grace, the list is outdated.
+// listFreshness says how long the server list may be relied on. The protocol counts changes as delivered after fixed
+// times, whether or not they have arrived; from then on, plus the drain grace, the list is outdated.
 type listFreshness struct {
-	drainGrace      logic.Micros // for which a server may still be sent to that was told to drain
-	maxPollInterval logic.Micros // the span within which the list must be asked for
-	pushedByAgent   bool         // what an agent has counts as told
-	freshUntil      logic.Micros // what changes from now on counts as told then at the earliest
+	drainGrace      logic.Micros // how long new requests may go to a server after its drain counts as delivered
+	maxPollInterval logic.Micros // the longest time allowed between two requests for the list; 0 if none is set
+	pushedByAgent   bool         // the list comes from an agent, whose changes count as delivered at once
+	freshUntil      logic.Micros // a change made from now on counts as delivered then at the earliest
 }
 
-// SetListLimits says how old the list may be that is sent by, before the proxy runs or on its loop: the grace for servers that
-// drain, the span within which the list must be asked for, and whether an agent is told all at once.
-func (p *Proxy) SetListLimits(grace, within logic.Micros, pushed bool) {
-	p.listFreshness.drainGrace, p.listFreshness.maxPollInterval, p.listFreshness.pushedByAgent = grace, within, pushed
+// SetListLimits sets how old the server list may be when requests are sent by it: how long new requests may go to a
+// draining server, the longest time between two requests for the list (0 for no limit on its age), and whether an agent
+// pushes it, whose changes count as delivered at once. It must be called before Run or on the event loop.
+func (p *Proxy) SetListLimits(drainGrace, maxPollInterval logic.Micros, pushedByAgent bool) {
+	p.listFreshness.drainGrace, p.listFreshness.maxPollInterval, p.listFreshness.pushedByAgent = drainGrace, maxPollInterval, pushedByAgent
 }
 
-// extendFreshness notes until when the list may be trusted, and has it end then. The proxy goes on by it all the same after a further
-// span in which it must be asked for: a fleet that serves nobody is worse than one that serves by an old list.
+// extendFreshness sets the time from which on changes count as delivered, and schedules the list to become outdated the
+// drain grace after it. After a further maxPollInterval the proxy uses the list again although it is outdated: a fleet
+// that serves nobody is worse than one that serves by an old list.
 func (p *Proxy) extendFreshness(until logic.Micros) {
 	p.listFreshness.freshUntil = until
 	p.instance.SetListOutdated(false)
@@ -48,19 +52,20 @@
 	end := until + p.listFreshness.drainGrace
 	p.scheduleAt(end, func() {
 		if p.listFreshness.freshUntil == until && p.ctx.Err() == nil {
-			p.log.Warn("the server list is too old to send by", "silent_us", int64(p.now()-p.listReceivedAt))
+			p.log.Warn("the server list is outdated; not sending requests by it", "silent_us", int64(p.now()-p.listReceivedAt))
 			p.instance.SetListOutdated(true)
 		}
 	})
 	p.scheduleAt(end+p.listFreshness.maxPollInterval, func() {
 		if p.listFreshness.freshUntil == until && p.ctx.Err() == nil {
-			p.log.Warn("the server list is old, and gone by all the same")
+			p.log.Warn("the server list is still outdated; using it all the same")
 			p.instance.SetListOutdated(false)
 		}
 	})
 }
 
-// Subscribe begins a new watch on the server list. Answers of an earlier one no longer count.
+// Subscribe starts a new watch on the server list. Answers to an earlier watch are ignored from then on. It implements
+// host.Executor.
 func (p *Proxy) Subscribe() {
 	if p.cancelWatch != nil {
 		p.cancelWatch()
@@ -72,19 +77,19 @@
 	if p.listFreshness.freshUntil == 0 {
 		p.extendFreshness(p.now() + silenceDeliveryLimit)
 	}
-	told := func(version int64, hold time.Duration, tell func(discovery.ListVisitor)) {
+	onUpdate := func(version int64, hold time.Duration, visit func(discovery.ListVisitor)) {
 		p.post(func() {
 			if number != p.watchNumber {
 				return
 			}
 			p.listVersion, p.ready = version, true
-			tell(&listUpdate{p, false})
+			visit(&listUpdate{p, false})
 			p.extendFreshness(p.now() + max(silenceDeliveryLimit, logic.Micros(hold.Microseconds())+waitDeliveryLimit))
 			p.startAccepting()
 		})
 	}
 	go func() {
-		err := p.discovery.Follow(ctx, from, told)
+		err := p.discovery.Follow(ctx, from, onUpdate)
 		p.post(func() {
 			if number == p.watchNumber && p.ctx.Err() == nil {
 				p.watchFailed(err)
@@ -93,13 +98,14 @@
 	}()
 }
 
-// watchFailed tells that the list cannot be had. A call that failed excuses nothing: whatever came of it, a change counts as told
-// so long after the service had it and could be reached. A refusal, a reset or silence may be this proxy's alone.
-func (p *Proxy) watchFailed(why error) {
-	p.log.Warn("the server list cannot be had", "error", why)
+// watchFailed handles the end of a watch and has the list requested again. In general a failed call does not extend the
+// list's freshness: a refusal, a reset or silence may affect this proxy alone, and a change counts as delivered a fixed
+// time after the service had it and could be reached.
+func (p *Proxy) watchFailed(err error) {
+	p.log.Warn("cannot get the server list", "error", err)
 	p.ready = p.ready || len(p.servers) > 0
-	if now := p.now(); errors.Is(why, syscall.ECONNREFUSED) && now < p.listFreshness.freshUntil {
-		// Nobody could reach it just now: what it has to tell from here on counts so long after it can be reached again.
+	if now := p.now(); errors.Is(err, syscall.ECONNREFUSED) && now < p.listFreshness.freshUntil {
+		// Nobody can reach the service now: its further changes count as delivered only some time after it is back.
 		p.extendFreshness(max(p.listFreshness.freshUntil, now+silenceDeliveryLimit))
 	}
 	if p.listFreshness.pushedByAgent {
@@ -114,8 +120,8 @@
 	p.startAccepting()
 }
 
-// switchService follows the list of another service from now on. The last list is kept until the first answer, which is
-// a whole one: versions are those of a service, and one of the old would hide changes.
+// switchService follows the server list of another discovery service from now on. It asks for a full list, since versions
+// are specific to a service and the old one would hide changes. The current list is used until the first answer.
 func (p *Proxy) switchService(to *discovery.Client) {
 	old := p.discovery
 	p.discovery, p.listVersion = to, discovery.NoVersion
