--- a/internal/proxy/admin_test.go
+++ b/internal/proxy/admin_test.go
@@ -16,7 +16,7 @@
 	"hatchproxy/lab/fleet"
 )
 
-// waitForMetrics waits until the proxy's figures have these lines.
+// waitForMetrics waits until the proxy's metrics contain all of the lines, which are given without their prefix.
 func (s *harness) waitForMetrics(lines ...string) {
 	s.Helper()
 	require.EventuallyWithT(s, func(c *assert.CollectT) {
@@ -27,10 +27,10 @@
 	}, 3*time.Second, 10*time.Millisecond)
 }
 
-func TestFiguresTellWhatPeersSaw(t *testing.T) {
+func TestMetricsCountWhatPeersSaw(t *testing.T) {
 	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, (*proxy.Proxy).EnableMetrics, "BUSY")
 	s.waitForMetrics("current 0", "cluster_size 1", "cluster_unhealthy 0", `transactions{group="pay",state="answered"} 0`)
-	s.openRequest("c=pay,d=700").expectLine("BUSY") // three sends, each turned away
+	s.openRequest("c=pay,d=700").expectLine("BUSY") // sent three times, and each time refused by the server
 	s.waitForMetrics("sends 3", `transactions{group="pay",state="deferred"} 1`, "cluster_unhealthy 1")
 	s.list.Set("s0", "", "gone")
 	erring, err := fleet.NewPuppet(func(line string) string {
@@ -43,12 +43,12 @@
 	s.list.Set("s1", erring.Address, "ready")
 	s.waitForMetrics("cluster_size 1", "cluster_unhealthy 0")
 	s.openRequest("x=1,c=pay,d=700").expectLine("ERR")
-	s.dial("OPEN 77 7 c=none,d=5\r\n").expectLine("ERR the class is unknown") // none of the classes
+	s.dial("OPEN 77 7 c=none,d=5\r\n").expectLine("ERR the class is unknown") // not a configured class
 	s.waitForMetrics("sends 4", `transactions{group="pay",state="errored"} 1`)
 	a, b := s.openRequest("c=chat,d=700"), s.openRequest("c=chat,d=700")
 	a.expectLine("UP a")
 	b.expectLine("UP a")
-	runtime.GC() // who stands, stands on
+	runtime.GC() // established connections stay
 	s.waitForMetrics("sends 6", "current 2", `transactions{group="chat",state="answered"} 2`)
 	require.NoError(t, a.Close())
 	require.NoError(t, b.Close())
@@ -59,35 +59,36 @@
 	require.Len(t, servers[0].Lines(), 3)
 }
 
+// expectPingAnswer sends a health check on a new connection and checks its answer.
 func (s *harness) expectPingAnswer(want string) {
 	s.Helper()
 	s.dial("PING\r\n").expectLine(want)
 }
 
-func TestADrainedProxyMovesItsClientsAndComesBackToWork(t *testing.T) {
+func TestEvacuatedProxyMovesItsClientsAndRejoins(t *testing.T) {
 	s, _ := startProxyWith(t, 1024, (*proxy.Proxy).EnableMetrics, "UP a")
 	ctx := context.Background()
-	require.NoError(t, s.proxy.Rejoin(ctx), "without a drain it changes nothing")
+	require.NoError(t, s.proxy.Rejoin(ctx), "without an evacuation it changes nothing")
 	s.expectPingAnswer("PONG")
-	var held []*testClient
+	var clients []*testClient
 	for range 30 {
 		c := s.openRequest("c=chat,d=1500")
 		c.expectLine("UP a")
-		held = append(held, c)
+		clients = append(clients, c)
 	}
 	began := time.Now()
 	require.NoError(t, s.proxy.Evacuate(ctx))
 	s.expectPingAnswer("ERR not ready")
 	require.NoError(t, s.proxy.Evacuate(ctx))
-	late := s.openRequest("c=chat,d=1500") // the front has not noticed yet
+	late := s.openRequest("c=chat,d=1500") // new connections still come until the health check has been noticed
 	late.expectLine("UP a")
 	late.send("M 1\r\n")
 	late.expectLine("M 1")
-	for _, c := range append(held, late) {
+	for _, c := range append(clients, late) {
 		c.expectLine("MOVE")
 		c.expectEnd(false)
 	}
-	require.Greater(t, time.Since(began), 700*time.Millisecond, "spread, so that the others bear it")
+	require.Greater(t, time.Since(began), 700*time.Millisecond, "the moves are spread, so as not to overload the other proxies")
 	require.Less(t, time.Since(began), 3*time.Second)
 	s.waitForMetrics("current 0")
 	require.NoError(t, s.proxy.Rejoin(ctx))
@@ -95,47 +96,47 @@
 	s.openRequest("c=chat,d=1500").expectLine("UP a")
 }
 
-func TestRejoinInTheMidstOfTheMovesKeepsWhoIsLeft(t *testing.T) {
+func TestRejoinDuringMovesKeepsTheRemainingClients(t *testing.T) {
 	s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {}, "UP a")
-	var held []*testClient
+	var clients []*testClient
 	for range 20 {
 		c := s.openRequest("c=chat,d=1500")
 		c.expectLine("UP a")
-		held = append(held, c)
+		clients = append(clients, c)
 	}
 	require.NoError(t, s.proxy.Evacuate(context.Background()))
-	held[0].expectLine("MOVE")
+	clients[0].expectLine("MOVE")
 	require.NoError(t, s.proxy.Rejoin(context.Background()))
-	all, moved := time.Now().Add(3*time.Second), 0
-	for _, c := range held {
-		require.NoError(t, c.SetReadDeadline(all))
+	deadline, moved := time.Now().Add(3*time.Second), 0
+	for _, c := range clients {
+		require.NoError(t, c.SetReadDeadline(deadline))
 		if rest, _ := io.ReadAll(c.reader); string(rest) == "MOVE\r\n" {
 			moved++
 		}
 	}
-	require.Less(t, moved, 10, "the sweep has ended")
+	require.Less(t, moved, 10, "no more clients are moved after the rejoin")
 }
 
-func TestWhatIsPendingInADrainIsAnsweredInTime(t *testing.T) {
+func TestPendingRequestIsAnsweredInTimeDuringEvacuation(t *testing.T) {
 	s, _ := startProxy(t, 1024, "NONE")
 	c := s.openRequest("c=pay,d=20000")
 	require.NoError(t, s.proxy.Evacuate(context.Background()))
 	c.expectLine("ERR")
 }
 
-func TestADrainedProxyLeavesAsAnyOther(t *testing.T) {
+func TestEvacuatedProxyLeavesOnSIGTERM(t *testing.T) {
 	s, _ := startProxy(t, 1024, "UP a")
 	c := s.openRequest("c=chat,d=1500")
 	c.expectLine("UP a")
 	require.NoError(t, s.proxy.Evacuate(context.Background()))
 	s.leaveSignals <- syscall.SIGTERM
 	c.expectLine("MOVE")
-	require.NoError(t, s.proxy.Rejoin(context.Background()), "too late: it is leaving")
+	require.NoError(t, s.proxy.Rejoin(context.Background()), "it has no effect: the proxy is leaving")
 	require.NoError(t, <-s.runResult)
 }
 
-// The list's drain and a new file count while the proxy itself is drained, too.
-func TestWhileItEvacuatesItFollowsTheListAndTakesANewFile(t *testing.T) {
+// A server's drain and a new configuration take effect while the proxy itself evacuates.
+func TestEvacuatingProxyFollowsTheListAndReloadsConfig(t *testing.T) {
 	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, (*proxy.Proxy).EnableMetrics, "UP a", "UP b")
 	require.NoError(t, s.proxy.Evacuate(context.Background()))
 	s.list.Set("s0", servers[0].Address, "draining")
@@ -154,15 +155,15 @@
 
 func TestClientsThatDoNotReadAreMovedAllTheSame(t *testing.T) {
 	s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, (*proxy.Proxy).EnableMetrics, "UP a")
-	var deaf []*testClient
+	var notReading []*testClient
 	for range 5 {
 		c := s.openRequest("c=chat,d=1500")
-		deaf = append(deaf, c)
+		notReading = append(notReading, c)
 	}
 	s.waitForMetrics("current 5", `transactions{group="chat",state="answered"} 5`)
-	go func() { // and say more all the while
+	go func() { // they keep sending
 		for range 50 {
-			for _, c := range deaf {
+			for _, c := range notReading {
 				_, _ = c.Write([]byte("M 1\r\n"))
 			}
 			time.Sleep(20 * time.Millisecond)
--- a/internal/proxy/export_test.go
+++ b/internal/proxy/export_test.go
@@ -9,16 +9,16 @@
 	errorx "github.com/panjf2000/gnet/v2/pkg/errors"
 )
 
-// InterceptDials has a test stand between a proxy and its dials, before it runs: what a dial brings goes through it.
-func (p *Proxy) InterceptDials(through func(net.Conn, error) (net.Conn, error)) {
+// InterceptDials passes the result of each dial through a function of the test. It must be called before Run.
+func (p *Proxy) InterceptDials(intercept func(net.Conn, error) (net.Conn, error)) {
 	dial := p.dialFunc
-	p.dialFunc = func(ctx context.Context, endpoint string) (net.Conn, error) { return through(dial(ctx, endpoint)) }
+	p.dialFunc = func(ctx context.Context, endpoint string) (net.Conn, error) { return intercept(dial(ctx, endpoint)) }
 }
 
-// AnswerPending has a proxy answer at once what is pending, as it does shortly before it must be gone.
+// AnswerPending makes a proxy answer all pending requests at once, as it does shortly before it must have left.
 func (p *Proxy) AnswerPending() { p.post(p.expirePending) }
 
-// Quit has a proxy end, and returns when it has begun to.
+// Quit makes a proxy end, and returns when it has begun to.
 func (p *Proxy) Quit() {
 	begun := make(chan struct{})
 	p.post(func() {
@@ -28,26 +28,26 @@
 	<-begun
 }
 
-// EvictIdleAfter has a proxy make room, with something done first in the same turn of its loop.
-func (p *Proxy) EvictIdleAfter(first func()) {
+// EvictIdleAfter calls before and then makes a proxy close its idle clients, in the same iteration of its event loop.
+func (p *Proxy) EvictIdleAfter(before func()) {
 	p.post(func() {
-		first()
+		before()
 		p.ensureDescriptors(p.maxSockets)
 	})
 }
 
-// EndLoop has the loop end by itself, as its library does where waiting for events fails.
+// EndLoop makes the event loop end unexpectedly, as gnet does if waiting for events fails.
 func (p *Proxy) EndLoop() {
 	_ = p.loop.Execute(p.ctx, gnet.RunnableFunc(func(context.Context) error { return errorx.ErrEngineShutdown }))
 }
 
-// ErrLoopEnded is what Run then returns.
+// ErrLoopEnded is the error that Run returns then.
 var ErrLoopEnded = errLoopEnded
 
-// SetLogger has a proxy write its log elsewhere, before it runs.
+// SetLogger replaces a proxy's logger. It must be called before Run.
 func (p *Proxy) SetLogger(log *slog.Logger) { p.log = log }
 
-// CountUnsentAttempts counts the attempts whose line the kernel has not taken whole.
+// CountUnsentAttempts counts the attempts whose request line the kernel has not taken completely.
 func (p *Proxy) CountUnsentAttempts() int {
 	count := make(chan int)
 	p.post(func() {
@@ -62,7 +62,7 @@
 	return <-count
 }
 
-// StallLoopDuring holds the loop up while something is done beside it.
+// StallLoopDuring blocks the event loop while a function of the test runs.
 func (p *Proxy) StallLoopDuring(meanwhile func()) {
 	done := make(chan struct{})
 	p.post(func() {
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -18,7 +18,8 @@
 	"hatchproxy/lab/fleet"
 )
 
-// handoverEnv is where processes that replace each other run: one listening socket, one folder, one list.
+// handoverEnv is the environment of proxies that replace each other: they share a listening socket, a handover folder and a
+// server list.
 type handoverEnv struct {
 	*testing.T
 	socket *net.TCPListener
@@ -27,6 +28,7 @@
 	server *fleet.Puppet
 }
 
+// newHandoverEnv returns an environment with one server, which never answers requests with x=1.
 func newHandoverEnv(t *testing.T) *handoverEnv {
 	t.Parallel()
 	l, err := net.Listen("tcp", uniqueHost()+":0")
@@ -51,11 +53,11 @@
 	return h
 }
 
-// startProcess runs one more process, and waits until it can serve.
+// startProcess starts another proxy on the shared socket and waits until it is ready.
 func (h *handoverEnv) startProcess() *harness {
 	raw, err := h.socket.SyscallConn()
 	require.NoError(h, err)
-	fd := -1 // the proxy's own from here on, as one that a process hasSuccessor
+	fd := -1 // a duplicate, which the proxy takes over as it does with an inherited one
 	require.NoError(h, raw.Control(func(socket uintptr) { fd, err = syscall.Dup(int(socket)) }))
 	require.NoError(h, err)
 	b, err := platformconfig.SettingsFromLines(configWithoutProbes).NewBalancer(7)
@@ -69,78 +71,78 @@
 	return s
 }
 
-func (h *handoverEnv) eventually(holds func() bool) {
+func (h *handoverEnv) eventually(condition func() bool) {
 	h.Helper()
-	require.Eventually(h, holds, 5*time.Second, 10*time.Millisecond)
+	require.Eventually(h, condition, 5*time.Second, 10*time.Millisecond)
 }
 
-// waitForClients waits until a process holds so many.
+// waitForClients waits until a proxy has exactly n clients with a request.
 func (s *harness) waitForClients(n int) {
 	s.Helper()
 	require.Eventually(s, func() bool { return s.proxy.Metrics().Current == n }, 5*time.Second, 10*time.Millisecond)
 }
 
-// waitForPingAnswer waits until a process answers the front so.
-func (s *harness) waitForPingAnswer(word string) {
+// waitForPingAnswer waits until a proxy answers health checks with the line.
+func (s *harness) waitForPingAnswer(want string) {
 	s.Helper()
 	require.Eventually(s, func() bool {
-		asks := s.dial("PING\r\n")
-		defer asks.Close()
-		line, _ := asks.reader.ReadString('\n')
-		return line == word+"\r\n"
+		prober := s.dial("PING\r\n")
+		defer prober.Close()
+		line, _ := prober.reader.ReadString('\n')
+		return line == want+"\r\n"
 	}, 5*time.Second, 10*time.Millisecond)
 }
 
-// waitForExit waits until a process has ended in good order.
+// waitForExit waits until Run has returned without an error.
 func (s *harness) waitForExit(span time.Duration) {
 	s.Helper()
 	select {
 	case err := <-s.runResult:
 		require.NoError(s, err)
 	case <-time.After(span):
-		require.Fail(s, "it never ended")
+		require.Fail(s, "the proxy did not end")
 	}
 }
 
-func TestConnectionsGoOnInTheNextProcess(t *testing.T) {
+func TestConnectionsContinueInTheSuccessor(t *testing.T) {
 	h := newHandoverEnv(t)
 	first := h.startProcess()
-	c, ended := first.openRequest("c=chat,d=1500"), first.openRequest("c=pay,d=1500")
+	c, toReset := first.openRequest("c=chat,d=1500"), first.openRequest("c=pay,d=1500")
 	c.expectLine("UP a")
-	ended.expectLine("UP a")
-	half := first.dial("OPEN 77 7 c=ch")
-	asks := first.dial("PING\r\n")
-	asks.expectLine("PONG")
-	for range 3 { // one replacement after the other
+	toReset.expectLine("UP a")
+	partial := first.dial("OPEN 77 7 c=ch")
+	prober := first.dial("PING\r\n")
+	prober.expectLine("PONG")
+	for range 3 { // three replacements in a row
 		second := h.startProcess()
 		first.leaveSignals <- syscall.SIGTERM
 		first.waitForExit(time.Second)
 		second.waitForClients(2)
 		c.send("M 1\r\n")
 		c.expectLine("M 1")
-		asks.send("PING\r\n")
-		asks.expectLine("PONG")
+		prober.send("PING\r\n")
+		prober.expectLine("PONG")
 		first = second
 	}
-	require.Equal(t, 2, h.server.Conns(), "no attempt was made for them again")
-	half.send("at,d=1500\r\n")
-	half.expectLine("UP a")
-	fleet.Reset(ended.Conn)
+	require.Equal(t, 2, h.server.Conns(), "no connection to the server was made anew")
+	partial.send("at,d=1500\r\n")
+	partial.expectLine("UP a")
+	fleet.Reset(toReset.Conn)
 	first.waitForClients(2)
 	require.NoError(t, h.server.Last().Close())
-	half.expectEnd(false)
+	partial.expectEnd(false)
 	first.openRequest("c=chat,d=1500").expectLine("UP a")
 }
 
-func TestWhatIsPendingStaysAndIsPassedOnOnceItStands(t *testing.T) {
+func TestPendingRequestsStayWithThePredecessor(t *testing.T) {
 	h := newHandoverEnv(t)
 	first := h.startProcess()
-	never, harmless := first.openRequest("x=1,c=pay,d=1000"), first.openRequest("x=1,c=chat,d=700")
+	oneShot, harmless := first.openRequest("x=1,c=pay,d=1000"), first.openRequest("x=1,c=chat,d=700")
 	first.waitForClients(2)
 	h.startProcess()
 	first.leaveSignals <- syscall.SIGTERM
 	harmless.expectLine("BUSY")
-	never.expectLine("ERR")
+	oneShot.expectLine("ERR")
 	first.waitForExit(3 * time.Second)
 	var lines []string
 	for _, line := range h.server.Lines() {
@@ -148,7 +150,7 @@
 			lines = append(lines, line)
 		}
 	}
-	require.Len(t, lines, 1, "once only, whoever answers for it")
+	require.Len(t, lines, 1, "a one-shot request is sent once only, whichever process answers it")
 }
 
 func TestTheOldProcessServesOnWhenTheNewOneDies(t *testing.T) {
@@ -157,25 +159,25 @@
 	c := first.openRequest("c=chat,d=1500")
 	c.expectLine("UP a")
 	second := h.startProcess()
-	second.leaveSignals <- syscall.SIGTERM // it fails a moment after it could serve
+	second.leaveSignals <- syscall.SIGTERM // it ends just after it got ready
 	second.waitForExit(3 * time.Second)
-	var held []*testClient
+	var clients []*testClient
 	for range 5 {
-		held = append(held, first.openRequest("c=chat,d=1500"))
-		held[len(held)-1].expectLine("UP a")
+		clients = append(clients, first.openRequest("c=chat,d=1500"))
+		clients[len(clients)-1].expectLine("UP a")
 	}
 	first.waitForClients(6)
-	third := h.startProcess() // finds the first again
+	third := h.startProcess() // it finds the first one again
 	first.leaveSignals <- syscall.SIGTERM
 	first.waitForExit(time.Second)
 	third.waitForClients(6)
-	for _, c := range append(held, c) {
+	for _, c := range append(clients, c) {
 		c.send("M 1\r\n")
 		c.expectLine("M 1")
 	}
 }
 
-func TestTheHeirOfADrainedProxyIsDrained(t *testing.T) {
+func TestSuccessorOfAnEvacuatingProxyEvacuates(t *testing.T) {
 	h := newHandoverEnv(t)
 	first := h.startProcess()
 	c := first.openRequest("c=chat,d=1500")
@@ -184,19 +186,19 @@
 	second := h.startProcess()
 	second.waitForPingAnswer("ERR not ready")
 	first.leaveSignals <- syscall.SIGTERM
-	c.expectLine("MOVE") // whoever holds it by then
+	c.expectLine("MOVE") // by whichever process holds it by then
 	first.waitForExit(3 * time.Second)
 	require.NoError(t, second.proxy.Rejoin(context.Background()))
 	second.expectPingAnswer("PONG")
 
-	third := h.startProcess() // an order that comes between the yes and SIGTERM counts for both
+	third := h.startProcess() // an order after the successor is ready and before SIGTERM applies to both
 	require.NoError(t, second.proxy.Evacuate(context.Background()))
 	third.waitForPingAnswer("ERR not ready")
 	require.NoError(t, second.proxy.Rejoin(context.Background()))
 	third.waitForPingAnswer("PONG")
 }
 
-func TestWithoutTheFolderClientsAreMoved(t *testing.T) {
+func TestWithoutHandoverFolderClientsAreMoved(t *testing.T) {
 	h := newHandoverEnv(t)
 	h.folder = ""
 	first := h.startProcess()
@@ -216,8 +218,9 @@
 	require.ErrorContains(t, new(proxy.Proxy).InheritListener(fd, ""), "descriptor ")
 }
 
-// A server's drain that is told after the yes and before SIGTERM: either process may still send, and neither does.
-func TestADrainToldInBetweenBindsBothProcesses(t *testing.T) {
+// A server's drain that is announced after the successor is ready and before SIGTERM applies to both processes, since
+// either may still send requests.
+func TestServerDrainDuringHandoverBindsBothProcesses(t *testing.T) {
 	h := newHandoverEnv(t)
 	other, err := fleet.NewPuppet(func(string) string { return "UP b" })
 	require.NoError(t, err)
@@ -239,18 +242,19 @@
 	require.Len(t, h.server.Lines(), 1)
 }
 
-// One that finds the old process, hangs and then ends never said that it can serve: the next one found nobody.
-func TestAnHeirThatHangsTakesNothing(t *testing.T) {
+// A successor that connects, hangs and then ends was never ready: the predecessor must serve on, and the next successor must
+// find it.
+func TestHangingSuccessorTakesNothingOver(t *testing.T) {
 	h := newHandoverEnv(t)
 	first := h.startProcess()
 	c := first.openRequest("c=chat,d=1500")
 	c.expectLine("UP a")
-	hung, err := succession.Dial(h.folder)
+	hanging, err := succession.Dial(h.folder)
 	require.NoError(t, err)
 	for range 3 {
 		first.openRequest("c=chat,d=1500").expectLine("UP a")
 	}
-	require.NoError(t, hung.Send([]byte("no packet of ours")))
+	require.NoError(t, hanging.Send([]byte("no packet of ours")))
 	first.openRequest("c=pay,d=1500").expectLine("UP a")
 	h.eventually(func() bool { return isFindable(h.folder) })
 	second := h.startProcess()
@@ -259,38 +263,40 @@
 	second.waitForClients(5)
 	c.send("M 1\r\n")
 	c.expectLine("M 1")
-	hung.Close()
+	hanging.Close()
 }
 
-// The word to leave overtook the successor's that it can serve, one time in ten on a busy machine: all clients were moved.
-func TestAnHeirThatSaysSoJustAfterTheWordToLeaveTakesOver(t *testing.T) {
+// The signal to leave may arrive just before the successor's message that it is ready, as on a busy machine. Guards against
+// moving all clients in that case although the successor can take them over.
+func TestSuccessorReadyJustAfterTheLeaveSignalTakesOver(t *testing.T) {
 	h := newHandoverEnv(t)
 	first := h.startProcess()
 	c := first.openRequest("c=chat,d=1500")
 	c.expectLine("UP a")
-	front := first.dial("PING\r\n")
-	front.expectLine("PONG")
-	heir, err := succession.Dial(h.folder)
+	prober := first.dial("PING\r\n")
+	prober.expectLine("PONG")
+	successor, err := succession.Dial(h.folder)
 	require.NoError(t, err)
-	defer heir.Close()
+	defer successor.Close()
 	first.leaveSignals <- syscall.SIGTERM
 	require.Eventually(t, func() bool {
-		front.send("PING\r\n")
-		line, err := front.reader.ReadString('\n')
+		prober.send("PING\r\n")
+		line, err := prober.reader.ReadString('\n')
 		return err == nil && line == "ERR not ready\r\n"
-	}, time.Second, 20*time.Millisecond, "it leaves")
-	require.NoError(t, heir.Send([]byte(`{"Ready":true}`)))
-	for passed := ""; !strings.Contains(passed, `"Stands"`); {
-		text, files, err := heir.Receive()
-		require.NoError(t, err, "it was not passed on")
+	}, time.Second, 20*time.Millisecond, "the proxy leaves")
+	require.NoError(t, successor.Send([]byte(`{"Ready":true}`)))
+	for packet := ""; !strings.Contains(packet, `"Stands"`); {
+		text, files, err := successor.Receive()
+		require.NoError(t, err, "the connection was not handed over")
 		for _, f := range files {
 			defer f.Close()
 		}
-		passed = string(text)
+		packet = string(text)
 	}
 	c.send("M 1\r\n")
 }
 
+// isFindable reports whether a successor would find a process through the folder.
 func isFindable(folder string) bool {
 	c, err := succession.Dial(folder)
 	if err == nil {
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -11,32 +11,33 @@
 	"hatchproxy/internal/proxy"
 )
 
-// A loop that ends by itself closed all connections without a word, and the process left as if all were well.
-func TestALoopThatEndsByItselfAnswersWhatIsInHandAndFailsTheProcess(t *testing.T) {
+// Guards against an event loop that ends unexpectedly, closes all connections without an answer, and lets the process exit
+// as if it had left in good order.
+func TestUnexpectedLoopEndAnswersOpenRequestsAndFailsRun(t *testing.T) {
 	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {}, "UP a")
-	standing := s.openRequest("c=chat,d=1500")
-	standing.expectLine("UP a")
-	resting := s.dial("OPEN 77 ")
+	established := s.openRequest("c=chat,d=1500")
+	established.expectLine("UP a")
+	partial := s.dial("OPEN 77 ")
 	servers[0].Stop()
 	s.list.Set("s0", "", "gone")
-	waiting := s.openRequest("c=pay,d=1500")
-	s.waitUntilClientGone("0") // they have been read
+	pending := s.openRequest("c=pay,d=1500")
+	s.waitUntilClientGone("0") // the proxy has read all requests
 	s.proxy.EndLoop()
-	standing.expectLine("MOVE")
-	waiting.expectLine("BUSY")
-	resting.expectLine("BUSY")
+	established.expectLine("MOVE")
+	pending.expectLine("BUSY")
+	partial.expectLine("BUSY")
 	require.ErrorIs(t, <-s.runResult, proxy.ErrLoopEnded)
 }
 
-// Who rests on a connection when the proxy ends hears that it may try elsewhere: its request may be on the way.
-func TestWhoRestsWhenTheProxyEndsIsTold(t *testing.T) {
+// A client that has sent no request when the proxy ends is told to try elsewhere, since its request may be on the way.
+func TestClientsWithoutRequestAreRefusedWhenTheProxyEnds(t *testing.T) {
 	s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {}, "UP a")
-	resting := s.dial("PING\r\n")
-	resting.expectLine("PONG")
+	idle := s.dial("PING\r\n")
+	idle.expectLine("PONG")
 	s.leaveSignals <- syscall.SIGTERM
-	require.NoError(t, resting.SetReadDeadline(time.Now().Add(5*time.Second)))
-	text, err := io.ReadAll(resting.reader)
-	require.NoError(t, err, "an end, not a reset")
+	require.NoError(t, idle.SetReadDeadline(time.Now().Add(5*time.Second)))
+	text, err := io.ReadAll(idle.reader)
+	require.NoError(t, err, "closed, not reset")
 	require.Equal(t, "BUSY\r\n", string(text))
 	require.NoError(t, <-s.runResult)
 }
--- a/internal/proxy/serverlist_test.go
+++ b/internal/proxy/serverlist_test.go
@@ -15,7 +15,7 @@
 	"hatchproxy/logic"
 )
 
-// openAndReadAnswer is the line that a client hears that asks and goes.
+// openAndReadAnswer sends a request on a new connection and returns the answer, without the line's end.
 func (s *harness) openAndReadAnswer() string {
 	c := s.openRequest("c=chat,d=1500")
 	defer c.Close()
@@ -25,27 +25,27 @@
 	return strings.TrimSuffix(line, "\r\n")
 }
 
-// A watch fell silent right after the start, a server began to drain, and 14 s later it was still sent to: the call was
-// given up 4 s after its wait, and the next one came a second after that.
-func TestADrainThatASilentWatchMissesIsHeardBeforeItCounts(t *testing.T) {
+// Guards against requests that go to a draining server for too long (once 14 s) after the watch on the list fell silent:
+// the proxy gave the call up too late, 4 s after the end of its long poll, and waited another second before the next.
+func TestDrainDuringSilentWatchIsNoticedBeforeItCountsAsDelivered(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP a", "UP b")
-	watching := s.list.Calls()
-	require.Eventually(t, func() bool { return s.list.Calls() > watching }, 5*time.Second, time.Millisecond, "a new watch")
+	callsBefore := s.list.Calls()
+	require.Eventually(t, func() bool { return s.list.Calls() > callsBefore }, 5*time.Second, time.Millisecond, "a new watch")
 	s.list.Hush()
-	silent := time.Now()
+	silentSince := time.Now()
 	s.list.Set("s0", "", "draining")
 	calls := s.list.Calls()
 	require.Eventually(t, func() bool { return s.list.Calls() > calls+1 }, 5*time.Second, time.Millisecond,
 		"another call and, as that was answered, the next watch")
-	require.Less(t, time.Since(silent), 3*time.Second, "its wait of a second, and the two after which it counts as told")
+	require.Less(t, time.Since(silentSince), 3*time.Second, "a long poll of 1 s and the 2 s after which the drain counts as delivered")
 	for range 4 {
 		s.openRequest("c=chat,d=1500").expectLine("UP b")
 	}
 	require.Empty(t, servers[0].Lines())
 }
 
-// A attempt was dialled when its server began to drain, and the connection came up when that had long been told.
-func TestNothingIsWrittenToAServerThatDrainsWhenTheDialComesUp(t *testing.T) {
+// Guards against a request that is sent to a draining server, since the drain was announced while the dial was under way.
+func TestNoRequestIsSentIfServerBeganToDrainDuringDial(t *testing.T) {
 	hold, dialled, release := holdDials()
 	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, hold, "UP a")
 	first := s.openRequest("c=chat,d=1500")
@@ -59,79 +59,80 @@
 		default:
 			return true
 		}
-	}, 5*time.Second, time.Millisecond, "the proxy has heard of the drain")
+	}, 5*time.Second, time.Millisecond, "the proxy has received the drain")
 	close(release)
 	first.expectLine("BUSY")
 	require.Empty(t, servers[0].Lines())
 }
 
-// What a list's service has to tell counts as told some time after a new configuration named it, whether or not it speaks.
-func TestWhileTheListIsTooOldNothingIsSentByIt(t *testing.T) {
+// The list of a discovery service counts as delivered a fixed time after a new configuration names the service, even if it
+// does not answer. From then on nothing may be sent by the old list.
+func TestNothingIsSentByAnOutdatedList(t *testing.T) {
 	const grace = 200 * logic.Millisecond
 	s, servers := startProxyWith(t, 1024, func(p *proxy.Proxy) { p.SetListLimits(grace, 10*logic.Second, false) }, "UP a")
-	other, err := fleet.ByHand()
+	newService, err := fleet.ByHand()
 	require.NoError(t, err)
-	other.Break("silent")
+	newService.Break("silent")
 	s.readConfig = func() (proxy.ReloadedConfig, error) {
-		rules, err := platformconfig.SettingsFromLines(baseConfig).NewBalancer(9)
-		return proxy.ReloadedConfig{Discovery: discovery.NewClient(other.Address(), time.Second), Balancer: rules, Classes: []string{"chat", "pay"},
+		balancer, err := platformconfig.SettingsFromLines(baseConfig).NewBalancer(9)
+		return proxy.ReloadedConfig{Discovery: discovery.NewClient(newService.Address(), time.Second), Balancer: balancer, Classes: []string{"chat", "pay"},
 			HardLimits: []logic.Micros{1500 * logic.Millisecond, 1500 * logic.Millisecond}, DialTimeout: 250 * logic.Millisecond,
 			LateThreshold: 50 * logic.Millisecond, DrainGrace: grace, MaxPollInterval: 10 * logic.Second}, err
 	}
 	s.reloadSignals <- syscall.SIGHUP
 	began := time.Now()
 	s.openRequest("c=chat,d=1500").expectLine("UP a")
-	var old time.Time
+	var outdatedAt time.Time
 	require.Eventually(t, func() bool {
-		old = time.Now()
+		outdatedAt = time.Now()
 		return s.openAndReadAnswer() == "BUSY"
-	}, 9*time.Second, 20*time.Millisecond, "what it says counts as told by now")
-	require.Greater(t, old.Sub(began), 4*time.Second, "it goes by the list while it may")
+	}, 9*time.Second, 20*time.Millisecond, "the new service's list counts as delivered by now")
+	require.Greater(t, outdatedAt.Sub(began), 4*time.Second, "the list is used as long as allowed")
 	sent := len(servers[0].Lines())
-	waits := s.openRequest("c=chat,d=1500")
+	waiting := s.openRequest("c=chat,d=1500")
 	second, err := fleet.NewPuppet(func(string) string { return "UP b" })
 	require.NoError(t, err)
-	other.Set("s9", second.Address, "ready")
-	other.Break("")
-	require.Eventually(t, func() bool { return s.openAndReadAnswer() == "UP b" }, 8*time.Second, 20*time.Millisecond, "it speaks, and that is gone by")
-	require.Len(t, servers[0].Lines(), sent, "nothing went by the old one")
-	line, err := waits.reader.ReadString('\n')
+	newService.Set("s9", second.Address, "ready")
+	newService.Break("")
+	require.Eventually(t, func() bool { return s.openAndReadAnswer() == "UP b" }, 8*time.Second, 20*time.Millisecond, "the new service answers, and its list is used")
+	require.Len(t, servers[0].Lines(), sent, "nothing was sent by the old list")
+	line, err := waiting.reader.ReadString('\n')
 	require.NoError(t, err)
-	require.Contains(t, []string{"BUSY\r\n", "UP b\r\n"}, line, "who waited is answered")
+	require.Contains(t, []string{"BUSY\r\n", "UP b\r\n"}, line, "the waiting client is answered")
 }
 
-// The list's service turned calls away, one server began to drain meanwhile, and for 40 s more it was sent to: a failed call
-// was taken for leave to go by the list four times as long as it may be asked for.
-func TestACallThatIsTurnedAwayExcusesNothing(t *testing.T) {
+// Guards against requests that go to a draining server for up to 40 s while the discovery service rejects calls: a failed
+// call must not extend the time for which the list may be used.
+func TestRejectedListRequestDoesNotExtendFreshness(t *testing.T) {
 	const grace = 200 * logic.Millisecond
 	s, servers := startProxyWith(t, 1024, func(p *proxy.Proxy) { p.SetListLimits(grace, 10*logic.Second, false) }, "UP a")
 	s.openRequest("c=chat,d=1500").expectLine("UP a")
 	s.list.Break("down")
-	down := time.Now()
+	downSince := time.Now()
 	s.list.Set("s0", "", "draining")
 	require.Eventually(t, func() bool { return s.openAndReadAnswer() == "BUSY" }, 8*time.Second, 20*time.Millisecond,
-		"what changed counts as told 6 s after the service had it, and it could be reached")
-	require.Greater(t, time.Since(down), 4*time.Second, "it goes by the list while it may")
+		"a change counts as delivered 6 s after the service has it and can be reached")
+	require.Greater(t, time.Since(downSince), 4*time.Second, "the list is used as long as allowed")
 	sent := len(servers[0].Lines())
 	second, err := fleet.NewPuppet(func(string) string { return "UP b" })
 	require.NoError(t, err)
 	s.list.Set("s9", second.Address, "ready")
 	s.list.Break("")
-	back := time.Now()
+	upSince := time.Now()
 	require.Eventually(t, func() bool { return s.openAndReadAnswer() == "UP b" }, 8*time.Second, 20*time.Millisecond)
-	require.Less(t, time.Since(back), 6*time.Second, "it asks again soon enough to hear what counts as told")
-	require.Len(t, servers[0].Lines(), sent, "nothing went by the old list")
+	require.Less(t, time.Since(upSince), 6*time.Second, "the list is requested again before its changes count as delivered")
+	require.Len(t, servers[0].Lines(), sent, "nothing was sent by the old list")
 }
 
-// The list's service was down for longer than its words count. Nobody could reach it, so that nothing had changed that could
-// count as told, and a fleet that turns everybody away meanwhile serves nobody.
-func TestWhileNobodyCanReachTheServiceItsListStands(t *testing.T) {
+// The discovery service is down for longer than its answers are fresh. As nobody can reach it, no change counts as
+// delivered: the list stays in use, or the whole fleet would refuse all requests.
+func TestListStaysInUseWhileServiceIsUnreachable(t *testing.T) {
 	s, _ := startProxyWith(t, 1024, func(p *proxy.Proxy) { p.SetListLimits(200*logic.Millisecond, 10*logic.Second, false) }, "UP a")
 	s.openRequest("c=chat,d=1500").expectLine("UP a")
 	s.list.Close()
-	asking := time.NewTicker(100 * time.Millisecond)
-	defer asking.Stop()
-	for down := time.Now(); time.Since(down) < 9*time.Second; <-asking.C {
+	ticker := time.NewTicker(100 * time.Millisecond)
+	defer ticker.Stop()
+	for downSince := time.Now(); time.Since(downSince) < 9*time.Second; <-ticker.C {
 		require.Equal(t, "UP a", s.openAndReadAnswer())
 	}
 }
