--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -55,8 +55,8 @@
 func (a *attempt) isFullyWritten() bool { return a.writeStarted && a.conn.OutboundBuffered() == 0 }
 
 // outcomeIfWritten returns the outcome of an attempt that ends before the server has answered: the given one if the
-// request line is fully written, and NoConnection otherwise. In that case the request has not run and never will,
-// since dropAttempt discards the rest of the line.
+// request line is fully written, and NoConnection otherwise. A request whose line
+// is not fully written has not run and never will, since dropAttempt discards the rest of the line.
 func (a *attempt) outcomeIfWritten(outcome logic.Outcome) logic.Outcome {
 	if a.isFullyWritten() {
 		return outcome
@@ -127,7 +127,8 @@
 	isRetryable := func(err error) bool {
 		local := transient.IsResourceShortage(err) || errors.Is(err, errNotRegistered)
 		if errors.Is(err, unix.ENETUNREACH) {
-			// Either this machine lacks a route for a moment, or the server is unreachable: then another server is the better choice.
+			// Either this machine lacks a route for a moment, or the server is unreachable: then another server is the
+			// better choice.
 			unreachable++
 			local = unreachable <= maxUnreachableRetries
 		}
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -119,7 +119,7 @@
 	Established       *establishedConn   `json:"Stands,omitempty"`  // comes with the client's socket and the server's
 	IncompleteRequest *incompleteRequest `json:"Unasked,omitempty"` // comes with the client's socket
 
-	Memory     *logic.Snapshot `json:",omitempty"` // a part of the balancer's state; the servers are spread over several packets
+	Memory     *logic.Snapshot `json:",omitempty"` // the balancer's state, with a part of its servers
 	Evacuating bool            `json:",omitempty"` // the predecessor evacuates: it moves its clients away
 	Rejoined   bool            `json:",omitempty"` // the evacuation has ended
 }
