--- a/internal/proxy/serverlist_test.go
+++ b/internal/proxy/serverlist_test.go
@@ -101,7 +101,7 @@
 	require.Contains(t, []string{"BUSY\r\n", "UP b\r\n"}, line, "the waiting client is answered")
 }
 
-// Guards against requests that go to a draining server for up to 40 s while the discovery service rejects calls: a failed
+// Guards against requests that go to a draining server for 40 s while the discovery service rejects calls: a failed
 // call must not extend the time for which the list may be used.
 func TestRejectedListRequestDoesNotExtendFreshness(t *testing.T) {
 	const grace = 200 * logic.Millisecond
