--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -13,43 +13,45 @@
 	"hatchproxy/orders"
 )
 
-// Info is what a proxy tells of itself that it does not know from serving.
+// Info is what the proxy reports in its status that does not come from serving.
 type Info struct {
 	Name, Version, ConfigChecksum string
 	LogLevel                      *slog.LevelVar
 }
 
-// Initialize tells the proxy about itself, and the orders with which it starts. It is to be called before Run.
-func (p *Proxy) Initialize(about Info, held []orders.Order) {
-	p.info = about
-	for _, o := range held {
+// Initialize sets what the proxy reports about itself and applies the stored orders. It must be called before Run.
+func (p *Proxy) Initialize(info Info, stored []orders.Order) {
+	p.info = info
+	for _, o := range stored {
 		if ans := p.applyOrder(o); ans.Verdict != orders.Obeyed && ans.Verdict != orders.Unknown {
-			p.log.Warn("an order from before", "order", o.ID, "verdict", ans.Verdict, "why", ans.Reason)
+			p.log.Warn("cannot apply a stored order", "order", o.ID, "verdict", ans.Verdict, "why", ans.Reason)
 		}
 	}
 }
 
-// SetLimiter has a gate decide whom the proxy lets in. It is to be called before Run.
-func (p *Proxy) SetLimiter(g *limits.Limiter) { p.limiter = g }
+// SetLimiter sets the limiter that decides which clients are admitted. It must be called before Run.
+func (p *Proxy) SetLimiter(limiter *limits.Limiter) { p.limiter = limiter }
 
-// logRefusals logs, once a second at most, how many the gate has turned away.
+// logRefusals logs how many clients the limiter has refused since the last such line, if any.
 func (p *Proxy) logRefusals() {
 	if p.limiter == nil {
 		return
 	}
-	sum := uint64(0)
+	total := uint64(0)
 	for _, n := range p.limiter.Refused() {
-		sum += n
+		total += n
 	}
-	if sum > p.loggedRefusals {
-		p.log.Info("turned away by limits", "count", sum-p.loggedRefusals, "since_start", p.limiter.Refused())
-		p.loggedRefusals = sum
+	if total > p.loggedRefusals {
+		p.log.Info("refused clients by limits", "count", total-p.loggedRefusals, "since_start", p.limiter.Refused())
+		p.loggedRefusals = total
 	}
 }
 
+// errProxyStopped is returned for calls that reach a proxy after its end.
 var errProxyStopped = errors.New("the proxy has left")
 
-// callOnLoop has the loop run a call and returns its result. A call whose asker has given up waiting runs all the same.
+// callOnLoop runs a call on the event loop and returns its result. If the context ends first, the call is still run. It
+// fails with errProxyStopped after the proxy's end.
 func callOnLoop[T any](ctx context.Context, p *Proxy, call func() T) (none T, err error) {
 	select {
 	case <-p.loopStarted:
@@ -68,22 +70,23 @@
 	}
 }
 
-// ApplyOrder hears an order.
+// ApplyOrder applies an order and returns the verdict.
 func (p *Proxy) ApplyOrder(ctx context.Context, o orders.Order) (orders.Answer, error) {
 	return callOnLoop(ctx, p, func() orders.Answer { return p.applyOrder(o) })
 }
 
+// applyOrder applies an order on the event loop, or before the loop runs.
 func (p *Proxy) applyOrder(o orders.Order) orders.Answer {
 	o.ServerID = discovery.ServerID(o.ServerUID)
 	ans, changed := p.orders.Apply(p.now(), o)
 	if changed {
 		p.refreshServer(o.ServerID)
 	}
-	p.log.Info("an order", "order", o.ID, "verb", o.Verb, "server", o.ServerUID, "verdict", ans.Verdict, "why", ans.Reason)
+	p.log.Info("order received", "order", o.ID, "verb", o.Verb, "server", o.ServerUID, "verdict", ans.Verdict, "why", ans.Reason)
 	return ans
 }
 
-// refreshServer tells the decisions a server's state anew, outside of any list.
+// refreshServer gives the balancer a server's state again after its orders have changed.
 func (p *Proxy) refreshServer(id logic.ServerID) {
 	if s := p.servers[id]; s != nil {
 		state, _ := p.orders.State(p.now(), id)
@@ -92,13 +95,15 @@
 	}
 }
 
+// expireOrders ends the orders whose time is over.
 func (p *Proxy) expireOrders(now logic.Micros) {
 	for _, id := range p.orders.Expire(now) {
-		p.log.Info("an order has ended by its time", "server", p.servers[id].displayName())
+		p.log.Info("order expired", "server", p.servers[id].displayName())
 		p.refreshServer(id)
 	}
 }
 
+// displayName returns the server's UID. It may be called on nil, for a server that is not on the list.
 func (s *server) displayName() string {
 	if s == nil {
 		return "not listed"
@@ -106,7 +111,7 @@
 	return s.uid
 }
 
-// Leave has the proxy go in good order.
+// Leave makes the proxy leave in an orderly way. It does not wait for the end.
 func (p *Proxy) Leave(ctx context.Context) error {
 	_, err := callOnLoop(ctx, p, func() bool {
 		p.leave()
@@ -115,7 +120,7 @@
 	return err
 }
 
-// SetLogLevel changes what is logged.
+// SetLogLevel sets the log level.
 func (p *Proxy) SetLogLevel(_ context.Context, level slog.Level) error {
 	if p.info.LogLevel == nil {
 		return errors.New("the level cannot be changed")
@@ -124,11 +129,12 @@
 	return nil
 }
 
-// Status tells what the proxy sees.
+// Status returns the state of the proxy and of the servers that it knows.
 func (p *Proxy) Status(ctx context.Context) (control.Status, error) {
 	return callOnLoop(ctx, p, p.status)
 }
 
+// status does the work of Status on the event loop.
 func (p *Proxy) status() control.Status {
 	now := p.now()
 	st := control.Status{
@@ -155,29 +161,29 @@
 	}
 	for _, id := range p.sortedServerIDs() {
 		s := p.servers[id]
-		seen, known := p.instance.ServerStatus(now, id)
+		status, known := p.instance.ServerStatus(now, id)
 		if !known {
 			continue
 		}
 		state, ordered := p.orders.State(now, id)
-		told := control.ServerStatus{UID: s.uid, Endpoint: s.endpoint, Zone: zones[s.zone], State: orders.StateName(state), Listed: orders.StateName(state),
-			Ordered: ordered, Standing: seen.Connections, Pending: seen.Pending, Failures: seen.FailureShare, Pace: seen.SpeedFactor,
-			ProbeMicros: int64(seen.LastProbe), Cold: seen.Cold}
+		reported := control.ServerStatus{UID: s.uid, Endpoint: s.endpoint, Zone: zones[s.zone], State: orders.StateName(state), Listed: orders.StateName(state),
+			Ordered: ordered, Standing: status.Connections, Pending: status.Pending, Failures: status.FailureShare, Pace: status.SpeedFactor,
+			ProbeMicros: int64(status.LastProbe), Cold: status.Cold}
 		if ordered {
-			told.Listed = orders.StateName(logic.Ready) // an order only ever takes a ready one away
+			reported.Listed = orders.StateName(logic.Ready) // orders only apply to servers that are ready by the list
 		}
 		switch {
 		case state != logic.Ready:
-			told.PassedOverReason = told.State
-		case seen.AvoidUntil > 0:
-			told.PassedOverReason = "its share of failures"
-		case seen.Stuck:
-			told.PassedOverReason = "a set-up has been pending for too long"
-		case seen.Late:
-			told.PassedOverReason = "messages are late: who comes again is not sent there"
+			reported.PassedOverReason = reported.State
+		case status.AvoidUntil > 0:
+			reported.PassedOverReason = "its share of failures"
+		case status.Stuck:
+			reported.PassedOverReason = "a set-up has been pending for too long"
+		case status.Late:
+			reported.PassedOverReason = "messages are late: who comes again is not sent there"
 		}
-		st.Standing += seen.Connections
-		st.Servers = append(st.Servers, told)
+		st.Standing += status.Connections
+		st.Servers = append(st.Servers, reported)
 	}
 	return st
 }
--- a/internal/proxy/control_test.go
+++ b/internal/proxy/control_test.go
@@ -23,10 +23,11 @@
 	"hatchproxy/orders"
 )
 
-// startProxyWithControl is a stage whose proxy is reached by its control surface.
+// startProxyWithControl also starts the proxy's control interface on a Unix socket; it returns a client of it and the
+// socket's path.
 func startProxyWithControl(t *testing.T, answers ...string) (*harness, *control.Client, string) {
 	s, _ := startProxy(t, 1024, answers...)
-	folder, err := os.MkdirTemp("", "hc") // short: a socket's path has 107 bytes at most
+	folder, err := os.MkdirTemp("", "hc") // short, since a socket's path is limited to 107 bytes
 	require.NoError(t, err)
 	path := filepath.Join(folder, "n0.sock")
 	c, err := control.Start("unix:"+path, s.proxy, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -68,7 +69,7 @@
 		c.expectLine("MOVE")
 		c.expectEnd(false)
 	}
-	s.list.Set("s1", "", "ready") // a change of the list on another server leaves the order in force
+	s.list.Set("s1", "", "ready") // changes of the list leave the order in force
 	s.list.Set("s0", "", "ready")
 	s.openRequest("c=chat,d=1500").expectLine("UP b")
 	st, err := client.Status(ctx)
@@ -97,7 +98,7 @@
 	require.Equal(t, orders.Stale, ans.Verdict)
 }
 
-// Guards against those who ask slowly, hugely, nonsensically or all at once.
+// Guards against control clients that send slowly, too much, invalid requests, or all at once.
 func TestHostileControlClientsDoNotHoldTheLoopUp(t *testing.T) {
 	s, client, path := startProxyWithControl(t, "UP a")
 	for range 60 {
--- a/internal/proxy/leave.go
+++ b/internal/proxy/leave.go
@@ -9,7 +9,7 @@
 	"hatchproxy/logic"
 )
 
-// mode is what a proxy is there for now. All that new clients are told follows from it.
+// mode is what the proxy does with its clients. It decides what new clients are told.
 type mode uint8
 
 const (
@@ -19,102 +19,106 @@
 )
 
 const (
-	// lateArrivalWindow is how long the front may go on sending new connections after the word to leave.
+	// lateArrivalWindow is how long new connections may still arrive after the order to leave, until the load balancer
+	// in front has noticed.
 	lateArrivalWindow = 400 * millisecond
-	// maxLeaveSpan is the most that the longest hard limit counts for: SIGKILL comes soon after.
+	// maxLeaveSpan bounds the time for pending requests, which otherwise is the largest hard limit: SIGKILL follows
+	// soon after.
 	maxLeaveSpan = 3 * second
-	// moveSpanShare is the part of that time over which standing clients are told to come again,
-	// so that they do not all reach the other proxies at once. The rest is for those still being set up.
+	// moveSpanShare is the part of the time to leave over which established connections are moved, so that the clients
+	// do not all reach the other proxies at once. The rest is for connections that are still being set up.
 	moveSpanShare = 0.5
-	// minMoveSpan is for products with very short limits.
+	// minMoveSpan applies where the hard limits are very short.
 	minMoveSpan = 300 * millisecond
-	// A proxy that sends its clients away must have moved them all within 4 s: what stands goes within the first
-	// second (over 2.25 s it cost 0.04 of G, within half a second it brought no more), and what is still pending is
-	// settled in time for its client to be moved.
+	// An evacuating proxy must have moved all its clients within 4 s. Established connections are moved within the
+	// first second: a longer span lowers the gain, and a shorter one does not raise it. Requests that are still pending
+	// are expired in time for their clients to be moved.
 	evacuationDelay    = 250 * millisecond
 	evacuationMovesEnd = 1000 * millisecond
 	evacuationExpireAt = 3400 * millisecond
 )
 
-// setMode takes up a duty; what was begun under the one before ends.
-func (p *Proxy) setMode(d mode) (turn int) {
-	p.mode, p.refuseRequests = d, false
+// setMode changes the mode and returns its generation. Actions begun under the previous mode stop.
+func (p *Proxy) setMode(m mode) (generation int) {
+	p.mode, p.refuseRequests = m, false
 	p.modeGeneration++
 	return p.modeGeneration
 }
 
-// leave has the proxy go: it takes what still comes for a while, settles what is pending, tells all standing
-// clients to come again, and ends.
+// leave makes the proxy end in an orderly way: it accepts late arrivals for a while, hands its connections over to a
+// successor or moves its clients to other proxies, answers pending requests, and quits.
 func (p *Proxy) leave() {
 	if p.mode == leaving {
 		return
 	}
-	turn := p.setMode(leaving)
+	generation := p.setMode(leaving)
 	p.log.Info("leaving", "attachments", len(p.clients), "successor", p.hasSuccessor())
-	span, sweep := p.leaveSpans()
+	span, moveSpan := p.leaveSpans()
 	p.stopAccepting()
 	if p.hasSuccessor() {
-		p.handOverAll(turn, sweep)
+		p.handOverAll(generation, moveSpan)
 	}
 	p.scheduleAfter(lateArrivalWindow, func() {
 		if !p.hasSuccessor() {
-			p.startMoving(turn, sweep)
+			p.startMoving(generation, moveSpan)
 		}
 	})
-	p.scheduleAfter(lateArrivalWindow+sweep, func() { p.startMoving(turn, 0) }) // what could not be passed on
+	p.scheduleAfter(lateArrivalWindow+moveSpan, func() { p.startMoving(generation, 0) }) // for what could not be handed over
 	p.scheduleAfter(lateArrivalWindow+span, p.expirePending)
 	p.scheduleAfter(lateArrivalWindow+span+50*millisecond, p.quit)
 }
 
-// leaveSpans is how long a proxy that leaves stays for those that are pending, and over what part of it the others are moved.
-func (p *Proxy) leaveSpans() (span, sweep logic.Micros) {
+// leaveSpans returns how long a leaving proxy waits for its pending requests, and the part of that time over which it
+// moves its established connections.
+func (p *Proxy) leaveSpans() (span, moveSpan logic.Micros) {
 	span = min(p.maxHardLimit, maxLeaveSpan)
 	return span, max(minMoveSpan, logic.Micros(moveSpanShare*float64(span)))
 }
 
-// startMoving refuses who still comes and sends the others away, once in a turn.
-func (p *Proxy) startMoving(turn int, span logic.Micros) {
-	if p.modeGeneration == turn && p.movedGeneration != turn {
-		p.refuseRequests, p.movedGeneration = true, turn
-		p.moveClients(turn, p.now()+span)
+// startMoving refuses new requests from now on and moves the established connections over the given span. It does so
+// once per mode generation.
+func (p *Proxy) startMoving(generation int, span logic.Micros) {
+	if p.modeGeneration == generation && p.movedGeneration != generation {
+		p.refuseRequests, p.movedGeneration = true, generation
+		p.moveClients(generation, p.now()+span)
 	}
 }
 
-// evacuate has the proxy send its clients away and go on running. Late comers are taken, as the front notices
-// a moment later, and are moved like the others.
+// evacuate moves all clients to other proxies while this one goes on running. Late arrivals are accepted, since the
+// load balancer in front notices only a moment later, and are moved like the others.
 func (p *Proxy) evacuate() {
 	if p.mode != serving {
 		return
 	}
-	turn, now := p.setMode(evacuating), p.now()
+	generation, now := p.setMode(evacuating), p.now()
 	p.tellSuccessor(packet{Evacuating: true})
 	p.log.Info("evacuating", "attachments", len(p.clients))
-	p.scheduleAfter(evacuationDelay, func() { p.moveClients(turn, now+evacuationMovesEnd) })
-	p.scheduleAfter(evacuationMovesEnd, func() { p.refuseRequests = p.refuseRequests || p.modeGeneration == turn })
+	p.scheduleAfter(evacuationDelay, func() { p.moveClients(generation, now+evacuationMovesEnd) })
+	p.scheduleAfter(evacuationMovesEnd, func() { p.refuseRequests = p.refuseRequests || p.modeGeneration == generation })
 	p.scheduleAfter(evacuationExpireAt, func() {
-		if p.modeGeneration == turn {
+		if p.modeGeneration == generation {
 			p.expirePending()
 		}
 	})
 }
 
-// rejoin takes a proxy that evacuates back to work. It knows what it knew.
+// rejoin makes an evacuating proxy serve again. What it has learnt about the servers is kept.
 func (p *Proxy) rejoin() {
 	if p.mode == evacuating {
 		p.setMode(serving)
 		p.tellSuccessor(packet{Rejoined: true})
-		p.log.Info("back to work", "attachments", len(p.clients))
+		p.log.Info("serving again after evacuation", "attachments", len(p.clients))
 	}
 }
 
-// moveClients moves one of those that stand after the other, evenly until the time is up, and then at once all that
-// come to stand. It ends with the duty under which it was begun.
-func (p *Proxy) moveClients(turn int, until logic.Micros) {
-	if p.modeGeneration != turn {
+// moveClients moves established connections one after the other, evenly until the given time, and after that each one
+// as soon as it is established. It stops when the mode changes.
+func (p *Proxy) moveClients(generation int, until logic.Micros) {
+	if p.modeGeneration != generation {
 		return
 	}
 	now := p.now()
-	standing := p.establishedClients()
+	established := p.establishedClients()
 	if p.mode == leaving && len(p.clients) == 0 && now >= until {
 		p.quit()
 		return
@@ -122,31 +126,32 @@
 	const step = 20 * millisecond
 	steps := int(max(1, (until-now)/step))
 	wait := step
-	if n := len(standing); n > 0 && n < steps && p.mode == evacuating {
-		// Few are as spread as many where the process stays. One that leaves lets them go at 50 a second at the
-		// least: spread over all there is, it cost 0.04 of G where proxies are restarted in trouble.
+	if n := len(established); n > 0 && n < steps && p.mode == evacuating {
+		// An evacuating proxy spreads even a few clients over the whole span. A leaving one moves at least one client
+		// per step, 50 a second: spreading them over the whole span lowers the gain when proxies are restarted in the
+		// midst of other trouble.
 		wait = (until - now) / logic.Micros(n)
 	}
-	for _, c := range standing[:(len(standing)+steps-1)/steps] {
+	for _, c := range established[:(len(established)+steps-1)/steps] {
 		p.moveClient(c, logic.Cancelled, byLeaving)
 	}
-	p.scheduleAfter(wait, func() { p.moveClients(turn, until) })
+	p.scheduleAfter(wait, func() { p.moveClients(generation, until) })
 }
 
-// establishedClients lists the clients whose connections stand, in the order in which they came.
+// establishedClients returns the clients with an established connection, in the order of their arrival.
 func (p *Proxy) establishedClients() []*client {
-	var standing []*client
+	var established []*client
 	for _, c := range p.clients {
 		if c.request.WasEstablished() {
-			standing = append(standing, c)
+			established = append(established, c)
 		}
 	}
-	slices.SortFunc(standing, func(a, b *client) int { return int(a.id) - int(b.id) })
-	return standing
+	slices.SortFunc(established, func(a, b *client) int { return int(a.id) - int(b.id) })
+	return established
 }
 
-// expirePending has the decisions answer at once what is still pending: it is as if its hard limit had come. Guards
-// against attachments that wait longer than the proxy may stay.
+// expirePending has the balancer answer all pending requests at once, as if their hard limits had been reached.
+// Otherwise requests with a longer limit would outlast the process.
 func (p *Proxy) expirePending() {
 	now := p.now()
 	for _, id := range slices.Sorted(maps.Keys(p.clients)) {
@@ -156,33 +161,34 @@
 		}
 		c.attachment.HardLimit = now
 		c.request.Expire(now)
-		d, ended := c.attempt, logic.Cancelled
-		if d != nil {
-			ended = d.outcomeIfWritten(logic.Cancelled)
-			p.dropAttempt(d)
-			c.lastOutcome = ended
-			c.request.FinishAttempt(!ended.NeverRan())
+		a, outcome := c.attempt, logic.Cancelled
+		if a != nil {
+			outcome = a.outcomeIfWritten(logic.Cancelled)
+			p.dropAttempt(a)
+			c.lastOutcome = outcome
+			c.request.FinishAttempt(!outcome.NeverRan())
 		}
 		switch {
 		case c.parser.ResumeServer != "":
 			p.answerAndClose(c, telemetry.Errored, protocol.FailedLine, reasonLeaving)
-		case d != nil:
-			p.instance.DispatchEnded(now, id, ended, false)
+		case a != nil:
+			p.instance.DispatchEnded(now, id, outcome, false)
 		default:
 			p.instance.Arrived(now, c.attachment)
 		}
 	}
 }
 
-// partialLineWait is how long the end waits for lines that are half through: SIGKILL comes 0.2 s after it at the soonest.
+// partialLineWait is how long quit waits for lines that have been relayed only in part. SIGKILL comes 0.2 s after quit
+// begins at the earliest.
 const partialLineWait = 100 * millisecond
 
-// quit has Run return, once those that stand have been told to come again and all others have a last word.
+// quit makes Run return, once established clients have been told to reconnect and all others have their final line.
 func (p *Proxy) quit() { p.quitBy(p.now() + partialLineWait) }
 
-// quitBy guards against a client that is cut off without a word: since its server was within a line just then, its last
-// word is still on the way, or its request came in this moment.
-func (p *Proxy) quitBy(latest logic.Micros) {
+// quitBy does the work of quit. Until the latest time it waits for clients that would otherwise be cut off without a
+// final line: their server has sent only part of a line, or their final line is still being written.
+func (p *Proxy) quitBy(deadline logic.Micros) {
 	if p.quitting || p.ctx.Err() != nil {
 		return
 	}
@@ -191,11 +197,11 @@
 			p.moveClient(c, logic.Cancelled, byLeaving)
 		}
 	}
-	if p.handover == nil { // else they wait in the socket that the next process has, too
+	if p.handover == nil { // otherwise they are in the listening socket's queue, which the successor shares
 		p.refuseAwaitingRequest()
 	}
-	if (len(p.establishedClients()) > 0 || p.lingering.Len() > 0) && p.now() < latest {
-		p.scheduleAfter(10*millisecond, func() { p.quitBy(latest) })
+	if (len(p.establishedClients()) > 0 || p.lingering.Len() > 0) && p.now() < deadline {
+		p.scheduleAfter(10*millisecond, func() { p.quitBy(deadline) })
 		return
 	}
 	p.quitting = true
@@ -203,15 +209,15 @@
 	p.scheduleAfter(lastRegistrationWait, p.completeLeave)
 }
 
-// lastRegistrationWait is how long a connection that was accepted last may take until the loop has it.
+// lastRegistrationWait allows for the registration of the connections that were accepted last.
 const lastRegistrationWait = 5 * millisecond
 
-// completeLeave is the last turn of a proxy that leaves.
+// completeLeave is the last call of a leaving proxy on the event loop.
 func (p *Proxy) completeLeave() {
 	p.refuseAwaitingRequest()
 	for e := p.lingering.Front(); e != nil; e = e.Next() {
 		if c := e.Value.(*client); isOpen(c.conn) {
-			discardInput(c.conn.Fd()) // or its close would be a reset
+			discardInput(c.conn.Fd()) // closing with unread input would send a reset
 		}
 	}
 	p.log.Info("gone", "attachments", len(p.clients))
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -15,23 +15,25 @@
 	"hatchproxy/internal/transient"
 )
 
-// errLoopEnded is a loop that ended though nobody told it to: the process must not leave as if all were well.
-var errLoopEnded = errors.New("the event loop ended by itself")
+// errLoopEnded reports that the event loop ended without being told to. The process must then exit with an error.
+var errLoopEnded = errors.New("the event loop ended unexpectedly")
 
 const (
-	// loopStartTimeout is how long a poller is tried for at the start.
+	// loopStartTimeout bounds the attempts to get a poller or a listener at startup.
 	loopStartTimeout = 5 * time.Second
-	// loopStopTimeout bounds the wait for a loop that has been told to stop. All requests have their answers by then.
+	// loopStopTimeout bounds the wait for an event loop that has been told to stop. By then all requests have been
+	// answered.
 	loopStopTimeout = time.Second
 )
 
-// Run serves until it is told to leave, and returns nil if it left in good order. Whenever again says so, reread tells
-// what holds from now on. It fails where its address or a poller cannot be had, and where its loop ends by itself.
-func (p *Proxy) Run(leave, again <-chan os.Signal, reread func() (ReloadedConfig, error)) error {
+// Run serves clients until a signal on leave or a call of Leave, and returns nil after an orderly end. A signal on
+// reload has readConfig called and its result applied. Run fails if it cannot get its address or a poller, and if the
+// event loop ends unexpectedly.
+func (p *Proxy) Run(leave, reload <-chan os.Signal, readConfig func() (ReloadedConfig, error)) error {
 	defer p.cancel()
-	p.readConfig = reread
+	p.readConfig = readConfig
 	go p.handleSignals(leave, p.leaveOrAbort)
-	go p.handleSignals(again, p.reloadOnSignal)
+	go p.handleSignals(reload, p.reloadOnSignal)
 	if err := p.openListener(); err != nil {
 		return p.unlessAborted(err)
 	}
@@ -58,14 +60,14 @@
 	return p.fatalErr
 }
 
-// The phases of a start.
+// The phases of a start, as held in Proxy.startPhase.
 const (
 	phaseStarting int32 = iota
 	phaseServing
 	phaseAborted
 )
 
-// leaveOrAbort has a proxy that serves leave, and a start that is not through yet end.
+// leaveOrAbort makes a proxy that serves leave, and aborts a start that is not complete.
 func (p *Proxy) leaveOrAbort() {
 	if p.startPhase.CompareAndSwap(phaseStarting, phaseAborted) {
 		p.cancel()
@@ -74,35 +76,36 @@
 	p.post(p.leave)
 }
 
-// handleSignals has each signal of one kind handled, one after the other. Kinds do not wait for each other: a file that cannot be
-// read for a moment must not put the word to leave off.
-func (p *Proxy) handleSignals(signals <-chan os.Signal, call func()) {
+// handleSignals calls handler for each signal, one at a time. Each kind of signal has its own goroutine, so that a
+// configuration file that cannot be read for a while does not delay leaving.
+func (p *Proxy) handleSignals(signals <-chan os.Signal, handler func()) {
 	for {
 		select {
 		case <-signals:
-			call()
+			handler()
 		case <-p.ctx.Done():
 			return
 		}
 	}
 }
 
+// reloadOnSignal reloads the configuration and logs a failure, after which the current one stays in force.
 func (p *Proxy) reloadOnSignal() {
 	if err := p.Reload(p.ctx); err != nil {
-		p.log.Error("the new configuration is of no use, the old one is kept", "error", err)
+		p.log.Error("cannot reload the configuration; keeping the current one", "error", err)
 	}
 }
 
-// unlessAborted is a failed start's error, or nil where the process was told to leave meanwhile.
+// unlessAborted returns err, or nil if the process was told to leave during startup.
 func (p *Proxy) unlessAborted(err error) error {
 	if p.ctx.Err() != nil {
-		p.log.Info("called off before it served")
+		p.log.Info("told to leave during startup; exiting")
 		return nil
 	}
 	return err
 }
 
-// openListener listens where the platform's socket was not inherited.
+// openListener opens the listener unless one was inherited.
 func (p *Proxy) openListener() error {
 	if p.acceptor != nil {
 		return nil
@@ -114,7 +117,7 @@
 	return p.createAcceptor(l.Listener.(*net.TCPListener))
 }
 
-// createAcceptor accepts on a listener from when it is resumed on.
+// createAcceptor creates the acceptor for a listener. It does not accept until it is resumed.
 func (p *Proxy) createAcceptor(l *net.TCPListener) error {
 	ctx, cancel := context.WithTimeout(p.ctx, loopStartTimeout)
 	defer cancel()
@@ -128,11 +131,12 @@
 	})
 }
 
-// loopConn is the side of a connection to itself, by which the loop is had at the start, and its end is noticed.
+// loopConn is the owner of a connection from the process to itself. Its opening gives access to the event loop at
+// startup, and its closing shows that the loop has ended.
 type loopConn struct{ peer net.Conn }
 
-// startLoop starts the one event loop. It accepts nothing itself: a failed accept would end it, and with it every
-// connection that it holds (docs/incidents/failing-calls.md).
+// startLoop starts the event loop. The loop does not accept connections itself: a failed accept would end it and all
+// connections that it holds (docs/incidents/failing-calls.md).
 func (p *Proxy) startLoop() (loop *gnet.Client, err error) {
 	ctx, cancel := context.WithTimeout(p.ctx, loopStartTimeout)
 	defer cancel()
@@ -148,39 +152,41 @@
 	if err != nil {
 		return nil, err
 	}
-	passes := func(err error) bool { return transient.IsResourceShortage(err) || errors.Is(err, errNotRegistered) }
-	if err := transient.Retry(ctx, wait, passes, func() error { return p.openLoopConn(loop) }); err != nil {
+	isRetryable := func(err error) bool { return transient.IsResourceShortage(err) || errors.Is(err, errNotRegistered) }
+	if err := transient.Retry(ctx, wait, isRetryable, func() error { return p.openLoopConn(loop) }); err != nil {
 		stopLoop(loop)
 		return nil, err
 	}
 	return loop, nil
 }
 
-// openLoopConn gives the loop its first connection.
+// openLoopConn registers the loop's first connection, a loopConn.
 func (p *Proxy) openLoopConn(loop *gnet.Client) error {
-	own, other, err := tcpPair()
+	own, peer, err := tcpPair()
 	if err != nil {
 		return err
 	}
-	if _, err := loop.EnrollContext(own, &loopConn{other}); err != nil {
-		_ = other.Close()
+	if _, err := loop.EnrollContext(own, &loopConn{peer}); err != nil {
+		_ = peer.Close()
 		return err
 	}
 	select {
 	case <-p.loopStarted:
 		return nil
-	default: // its poller did not take the connection, which is not reported
-		_ = other.Close()
+	default: // the poller did not take the connection, which gnet does not report
+		_ = peer.Close()
 		return errNotRegistered
 	}
 }
 
+// The sizes of gnet's buffers per connection, in bytes.
 const readBufferSize, writeBufferSize = 16 << 10, 16 << 10
 
+// stopLoop stops an event loop and waits for at most loopStopTimeout.
 func stopLoop(loop *gnet.Client) {
 	stopped := make(chan struct{})
 	go func() {
-		_ = loop.Stop() // what it says was logged when the loop ended
+		_ = loop.Stop() // the error was logged when the loop ended
 		close(stopped)
 	}()
 	select {
@@ -189,24 +195,24 @@
 	}
 }
 
-// tcpPair makes two ends of one connection.
-func tcpPair() (own, other net.Conn, err error) {
+// tcpPair returns the two ends of a TCP connection on the loopback interface.
+func tcpPair() (own, peer net.Conn, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, err
 	}
 	defer l.Close()
-	if other, err = net.Dial("tcp", l.Addr().String()); err != nil {
+	if peer, err = net.Dial("tcp", l.Addr().String()); err != nil {
 		return nil, nil, err
 	}
 	if own, err = l.Accept(); err != nil {
-		_ = other.Close()
+		_ = peer.Close()
 		return nil, nil, err
 	}
-	return own, other, nil
+	return own, peer, nil
 }
 
-// endRun has Run return. By then each request has its answer.
+// endRun makes Run return. By then each request must have been answered; any that has not is reported as a violation.
 func (p *Proxy) endRun() {
 	if p.mode != leaving {
 		p.reportViolation(nil, &lifecycle.Violation{Rule: lifecycle.EndOnlyWhenTold, Detail: "the process ends"})
@@ -220,19 +226,19 @@
 	p.endRunOnce.Do(func() { close(p.runEnded) })
 }
 
-// onLoopFailure is the loop's last turn where nobody told it to end: it is closing all connections, this one first. Each
-// request still gets its final answer, and the process ends with an error.
+// onLoopFailure runs in the last turn of an event loop that ends without being told to and is closing all connections.
+// Each request still gets its final answer, and Run returns errLoopEnded.
 func (p *Proxy) onLoopFailure() {
 	if p.ctx.Err() != nil {
 		return
 	}
-	p.log.Error("the event loop ends by itself", "attachments", len(p.clients))
+	p.log.Error("event loop ended unexpectedly; closing all connections", "attachments", len(p.clients))
 	p.fatalErr = errLoopEnded
 	p.setMode(leaving)
 	p.expirePending()
 	for _, c := range p.establishedClients() {
 		if c.conn != nil && c.attempt.parser.AtLineStart() {
-			_, _ = c.conn.Write(protocol.MoveLine) // a failure is the connection's own end
+			_, _ = c.conn.Write(protocol.MoveLine) // a failure is reported as the end of the connection
 		}
 		p.endEstablished(c, byLeaving)
 	}
@@ -240,7 +246,8 @@
 	p.endRun()
 }
 
-// refuseAwaitingRequest tells those that have asked nothing yet to try elsewhere: a request may be on its way from them.
+// refuseAwaitingRequest tells the clients that have not sent a whole request to try elsewhere, since a request of
+// theirs may be on its way.
 func (p *Proxy) refuseAwaitingRequest() {
 	for first := p.awaitingRequest.Front(); first != nil; first = p.awaitingRequest.Front() {
 		p.refuse(first.Value.(*client), reasonLeaving)
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -10,18 +10,18 @@
 	"hatchproxy/logic"
 )
 
-// probe is the one connection on which a server is asked whether it answers. It is kept from one probe to the
-// next, so that probes cost the server no new connections.
+// probe is the connection on which a server is probed. It is kept between probes, so that they cost the server no new
+// connections.
 type probe struct {
 	server  *server
 	parser  protocol.Prober
-	conn    gnet.Conn // nil while it is dialled
+	conn    gnet.Conn // nil while it is being dialled
 	sentAt  logic.Micros
-	pending bool // a probe waits for its answer
+	pending bool // a probe has been sent and not been answered
 }
 
-// Probe asks a server, unless an earlier probe is still out: then that one's age is told. A hung server is
-// thus seen to take ever longer.
+// Probe probes a server. If the previous probe has not been answered, its age is reported as the result instead, so
+// that a hung server appears ever slower.
 func (p *Proxy) Probe(id logic.ServerID) {
 	s := p.servers[id]
 	switch {
@@ -38,11 +38,13 @@
 	}
 }
 
+// sendProbe sends a probe on the open connection.
 func (p *Proxy) sendProbe(pr *probe) {
 	pr.sentAt, pr.pending = p.now(), true
-	_, _ = pr.conn.Write(protocol.ProbeLine) // a failure comes as the end of the connection
+	_, _ = pr.conn.Write(protocol.ProbeLine) // a failure is reported as the end of the connection
 }
 
+// dialProbe connects to a server. It runs outside the event loop.
 func (p *Proxy) dialProbe(pr *probe, endpoint string) {
 	ctx, cancel := context.WithTimeout(p.ctx, time.Duration(p.dialTimeout)*time.Microsecond)
 	defer cancel()
@@ -61,6 +63,8 @@
 	p.sendProbe(pr)
 }
 
+// probeDataReceived reports the duration of a probe once it is answered, and closes the connection if the server
+// refuses it.
 func (p *Proxy) probeDataReceived(pr *probe, b []byte) {
 	switch pr.parser.Feed(b) {
 	case protocol.ProbeAnswered:
@@ -73,7 +77,7 @@
 	}
 }
 
-// probeClosed forgets the connection; the next probe opens another.
+// probeClosed forgets the connection; the next probe opens a new one.
 func (p *Proxy) probeClosed(pr *probe) {
 	pr.parser.Release()
 	if pr.server.probe == pr {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,5 +1,8 @@
-// Package proxy drives the decisions on real sockets. One event loop of gnet owns the balancer, all
-// attachments and all sockets; dials, the server list, timers and signals hand their results to it.
+// Package proxy implements the load balancer on real sockets. It accepts clients, reads one request from each, asks the
+// balancer of package logic which server to use, dials that server and relays bytes between the two connections. It
+// also moves clients off servers, probes servers, hands connections over to a successor process, and leaves in an
+// orderly way. A single gnet event loop owns the balancer, all requests and all sockets; dials, the server list, timers
+// and signals run in goroutines of their own and post their results to the loop.
 package proxy
 
 import (
@@ -23,7 +26,8 @@
 	"hatchproxy/orders"
 )
 
-// Proxy is one real proxy. Everything below the gap belongs to the loop.
+// Proxy is one proxy process: its listener, its event loop and everything that it holds. The fields from host on belong
+// to the event loop; once the loop runs, only calls on it may use them.
 type Proxy struct {
 	gnet.BuiltinEventEngine
 	log         *slog.Logger
@@ -32,83 +36,83 @@
 	ctx         context.Context
 	cancel      context.CancelFunc
 	loop        gnet.EventLoop
-	fatalErr    error         // why it could not go on
-	runEnded    chan struct{} // closed once it is to end
-	endRunOnce  sync.Once     // guards ended
-	startPhase  atomic.Int32  // of the start
-	acceptor    *acceptor     // of clients; nil until its address is had
-	loopStarted chan struct{} // closed once the loop is known
+	fatalErr    error         // why Run fails; nil after an orderly end
+	runEnded    chan struct{} // closed when Run is to return
+	endRunOnce  sync.Once     // guards the closing of runEnded
+	startPhase  atomic.Int32  // how far the start has got: phaseStarting and so on
+	acceptor    *acceptor     // accepts clients; nil until there is a listener
+	loopStarted chan struct{} // closed once loop is set
 	startTime   time.Time
 	startMicros logic.Micros
-	metrics     atomic.Pointer[telemetry.Snapshot] // the last copy of the counts
+	metrics     atomic.Pointer[telemetry.Snapshot] // the last published copy of the counters
 
-	reloadMu sync.Mutex // guards reread, which is called beside the loop
+	reloadMu sync.Mutex // serializes calls of readConfig, which run outside the event loop
 
 	host           *host.Host
 	instance       *host.Instance
-	classes        map[string]classConfig // the classes
-	maxHardLimit   logic.Micros           // the longest hard limit that has held
+	classes        map[string]classConfig // by name
+	maxHardLimit   logic.Micros           // the largest hard limit of any class so far
 	zones          map[string]logic.ZoneID
 	models         map[string]logic.ModelID
 	dialTimeout    logic.Micros
-	lateThreshold  logic.Micros // what a message takes at a server that is told to be late
-	delaysReported bool         // the settings say that servers tell delays beside loads
-	delayEvidence  int          // series of them heard, less figures that were wrongly taken for one; -1 at least
-	maxSockets     int          // sockets
+	lateThreshold  logic.Micros // messages that take at least this long make a server late
+	delaysReported bool         // by the settings, servers report message delays in addition to loads
+	delayEvidence  int          // series of delays seen, less figures wrongly taken for a delay; between -1 and maxDelayEvidence
+	maxSockets     int          // limit on openSockets
 
 	clients           map[logic.AttachmentID]*client
-	openIDs           map[uint64]bool // that clients in hand came with
-	awaitingRequest   list.List       // clients that have asked nothing yet, oldest first
-	lingering         list.List       // clients that have had their last word, oldest first
-	protocolErrors    int             // since the last pulse
-	socketRefusals    int             // turned away since then, as all descriptors were in use for requests
-	lastProtocolError error           // of the last one
+	openIDs           map[uint64]bool // the request IDs that the present clients use
+	awaitingRequest   list.List       // clients that have not sent a whole request, oldest first
+	lingering         list.List       // clients that have been sent their final line and are about to close, oldest first
+	protocolErrors    int             // since the last tick
+	socketRefusals    int             // clients refused since the last tick because all sockets were in use for requests
+	lastProtocolError error           // the most recent of protocolErrors
 	lastID            logic.AttachmentID
 	servers           map[logic.ServerID]*server
-	limiter           *limits.Limiter // nil: everybody is let in
-	loggedRefusals    uint64          // how many it had turned away when that was logged
+	limiter           *limits.Limiter // nil if all clients are admitted
+	loggedRefusals    uint64          // how many refusals of the limiter have been logged
 	orders            *orders.Registry
 	info              Info
 	readConfig        func() (ReloadedConfig, error)
-	listReceivedAt    logic.Micros // when the list was last told
+	listReceivedAt    logic.Micros // when the server list last arrived; 0 if never
 	listVersion       int64
 	listFreshness     listFreshness
 	cancelWatch       context.CancelFunc
-	watchNumber       int // the number of the watch whose answers count
+	watchNumber       int // identifies the current watch; answers of earlier ones are ignored
 	ready             bool
-	openSockets       int                                                          // descriptors of clients and dispatches
-	dialFunc          func(ctx context.Context, endpoint string) (net.Conn, error) // dials a server
+	openSockets       int                                                          // descriptors of client and server connections
+	dialFunc          func(ctx context.Context, endpoint string) (net.Conn, error) // connects to a server
 	scheduledCalls    callHeap
 	wakeTimer         *time.Timer
 	mode              mode
-	modeGeneration    int // the number of the duty: what was begun under an earlier one ends
+	modeGeneration    int // counts changes of mode; actions begun under an earlier mode stop
 	refuseRequests    bool
 	inAfterEvent      bool
 	counters          telemetry.Counters
-	metricsCopiedAt   logic.Micros // when the counts were copied last
-	metricsEnabled    bool         // somebody may fetch them
-	movedGeneration   int          // the turn in which clients were begun to be sent away
-	quitting          bool         // the acceptor is closed, and the end is a moment off
-	handover          *handover    // nil: the listener is its own
+	metricsCopiedAt   logic.Micros // when metrics was last updated
+	metricsEnabled    bool         // metrics are copied for the admin interface
+	movedGeneration   int          // the modeGeneration in which moving clients away was begun
+	quitting          bool         // the acceptor is closed and the proxy is about to end
+	handover          *handover    // nil if the proxy opened its listener itself
 }
 
-// Options are what a proxy is made of. Spans are in microseconds.
+// Options configures a Proxy. Durations are in microseconds.
 type Options struct {
 	Log            *slog.Logger
-	Balancer       *logic.Balancer // decides
-	Listen         string          // the clients' address
+	Balancer       *logic.Balancer // makes the decisions
+	Listen         string          // address for clients
 	Discovery      *discovery.Client
-	CachedList     []byte // the server list that the proxy had before, in discovery's form; may be nil
+	CachedList     []byte // server list of an earlier run, in the encoding of package discovery; may be nil
 	Classes        []string
-	HardLimits     []logic.Micros // of the classes, in their order
-	Zones          []string       // in the order of the settings
+	HardLimits     []logic.Micros // of the classes, in the same order
+	Zones          []string       // indexed by zone ID
 	Models         []string
 	DialTimeout    logic.Micros
-	LateThreshold  logic.Micros // what a message takes at a server that is told to be late
-	MaxDescriptors int64        // the most that the process may hold
+	LateThreshold  logic.Micros // messages that take at least this long make a server late
+	MaxDescriptors int64        // limit on the open descriptors of the process
 }
 
-// New makes a proxy.
+// New returns a proxy that does not run yet. An invalid cached server list is logged and ignored.
 func New(o Options) *Proxy {
 	now := time.Now()
 	p := &Proxy{
@@ -124,11 +128,11 @@
 		},
 	}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
-	numbers := make([]logic.ProductID, len(o.Classes))
+	ids := make([]logic.ProductID, len(o.Classes))
 	for i := range o.Classes {
-		numbers[i] = logic.ProductID(i)
+		ids[i] = logic.ProductID(i)
 	}
-	p.setClasses(o.Classes, o.HardLimits, numbers)
+	p.setClasses(o.Classes, o.HardLimits, ids)
 	for i, name := range o.Zones {
 		p.zones[name] = logic.ZoneID(i)
 	}
@@ -138,29 +142,32 @@
 	p.host = host.New(p)
 	p.instance = p.host.Open(0, o.Balancer)
 	if len(o.CachedList) > 0 {
-		if version, tell, err := discovery.Decode(o.CachedList); err != nil {
-			o.Log.Warn("the list from before is of no use", "error", err)
+		if version, apply, err := discovery.Decode(o.CachedList); err != nil {
+			o.Log.Warn("cannot decode the cached server list; starting without it", "error", err)
 		} else {
 			p.listVersion = version
-			tell(&listUpdate{p, true})
+			apply(&listUpdate{p, true})
 		}
 	}
 	return p
 }
 
-// ExpectDelays says, before it runs, that servers tell how long messages take, in the form in which they tell loads.
+// ExpectDelays tells the proxy that servers report message delays in the same form as loads. It must be called before
+// Run.
 func (p *Proxy) ExpectDelays() { p.delaysReported = true }
 
-// reservedSockets are descriptors that are neither a client's nor a server's: the listener, two pollers, the calls for
-// the list (of two services for a moment), the configuration, the standard streams; and what dials that were broken
-// off, or have just been handed over, hold a moment longer than they are counted.
+// reservedSockets is the number of descriptors set aside for purposes other than client and server connections: the
+// listener, two pollers, calls to the discovery service (for a short time to two of them), the configuration file and
+// the standard streams. It also covers dials that were cancelled or have just been registered, which hold their
+// descriptor slightly longer than it is counted.
 const reservedSockets = 32
 
+// now returns the current Unix time. It follows the monotonic clock, so that it never jumps.
 func (p *Proxy) now() logic.Micros {
 	return p.startMicros + logic.Micros(time.Since(p.startTime).Microseconds())
 }
 
-// post has the loop run a call.
+// post runs a call on the event loop. It does not wait for the call.
 func (p *Proxy) post(call func()) {
 	err := p.loop.Execute(p.ctx, gnet.RunnableFunc(func(context.Context) error {
 		call()
@@ -168,12 +175,13 @@
 		return nil
 	}))
 	if err != nil && p.ctx.Err() == nil {
-		p.log.Error("the loop takes no calls", "error", err)
+		p.log.Error("event loop rejected a call", "error", err)
 	}
 }
 
-// afterEvent lets the instance do what is due after an event, as the simulator's adapter does after a batch.
-// What it does then may end connections, which are events too.
+// afterEvent lets the instance do its due work after an event on the loop, as the simulator's adapter does after each
+// batch, and publishes the metrics. This work may close connections, which are events themselves; the nested calls do
+// nothing.
 func (p *Proxy) afterEvent() {
 	if p.inAfterEvent || p.ctx.Err() != nil {
 		return
@@ -184,7 +192,7 @@
 	p.publishMetrics()
 }
 
-// onLoopStarted is the loop's first call.
+// onLoopStarted is the first call on the event loop.
 func (p *Proxy) onLoopStarted(loop gnet.EventLoop) {
 	p.loop = loop
 	close(p.loopStarted)
@@ -193,9 +201,9 @@
 	p.afterEvent()
 }
 
-// OnOpen takes a connection in: a client's, or one to a server that a dial has brought.
+// OnOpen handles a connection that the loop has registered: a client's, one to a server, or the loop's own.
 func (p *Proxy) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
-	if r, is := c.Context().(*registration); is {
+	if r, ok := c.Context().(*registration); ok {
 		c.SetContext(r.side)
 		r.opened.Store(true)
 	}
@@ -214,7 +222,7 @@
 	return nil, gnet.None
 }
 
-// OnTraffic feeds what has come to the machine of its side.
+// OnTraffic passes received bytes to the connection's owner: a client, an attempt or a probe.
 func (p *Proxy) OnTraffic(c gnet.Conn) gnet.Action {
 	b, err := c.Next(-1)
 	if err != nil {
@@ -232,7 +240,7 @@
 	return gnet.None
 }
 
-// OnClose tells the other side.
+// OnClose handles the end of a connection and closes the opposite one.
 func (p *Proxy) OnClose(c gnet.Conn, err error) gnet.Action {
 	if err == nil && !isOver(c.Context()) {
 		p.onLoopFailure()
@@ -255,7 +263,8 @@
 	return gnet.None
 }
 
-// isOver tells whether a connection's side has ended what it had to do: only then does the proxy close it itself.
+// isOver reports whether the owner of a connection is finished with it. The proxy closes connections itself only in
+// this case, so any other local close means that the event loop is ending.
 func isOver(side any) bool {
 	switch side := side.(type) {
 	case *client:
@@ -268,12 +277,13 @@
 	return true
 }
 
-// listUpdate passes the server list on to the decisions.
+// listUpdate applies an answer of the discovery service to the proxy's servers and the balancer.
 type listUpdate struct {
 	*Proxy
 	fromCache bool
 }
 
+// BeginFullList, Entry and EndList implement discovery.ListVisitor.
 func (l *listUpdate) BeginFullList() {
 	l.instance.BeginFullList(l.now())
 	l.orders.BeginFullList()
@@ -300,37 +310,37 @@
 	l.listReceivedAt = l.now()
 }
 
-// updateServer tells the decisions a server's state, as list and orders have it together.
+// updateServer gives the balancer a server's state, which follows from the list and the orders together.
 func (p *Proxy) updateServer(s *server, state logic.State) {
 	p.instance.UpdateServer(p.now(), s.id, s.zone, s.model, s.cell, state, s.weight, s.launchedAt)
 }
 
-// idForName finds a name's number; one that the settings did not name gets the next.
-func idForName[N ~uint16](names map[string]N, name string) N {
-	n, known := names[name]
+// idForName returns the ID of a name. A name that is not in the settings gets the next free ID.
+func idForName[N ~uint16](ids map[string]N, name string) N {
+	id, known := ids[name]
 	if !known {
-		n = N(len(names))
-		names[name] = n
+		id = N(len(ids))
+		ids[name] = id
 	}
-	return n
+	return id
 }
 
-// SelectInstance is for lines that carry many instances.
+// SelectInstance implements host.Executor. It does nothing, since there is only one instance.
 func (p *Proxy) SelectInstance(host.InstanceID) {}
 
-// WakeAt sees to it that the instance is called at that time.
+// WakeAt has the instance called at the given time.
 func (p *Proxy) WakeAt(at logic.Micros) { p.scheduleAt(at, func() {}) }
 
-// Log writes the decisions' words into the log.
-func (p *Proxy) Log(words string) { p.log.Info(words) }
+// Log writes a message of the balancer to the log.
+func (p *Proxy) Log(message string) { p.log.Info(message) }
 
-// gnetLogger writes gnet's words into the program's log.
+// gnetLogger writes gnet's messages to the program's log.
 type gnetLogger struct{ log *slog.Logger }
 
-func (l gnetLogger) Debugf(f string, a ...any) { l.log.Debug(fmt.Sprintf(f, a...)) }
-func (l gnetLogger) Infof(f string, a ...any)  { l.log.Debug(fmt.Sprintf(f, a...)) }
-func (l gnetLogger) Warnf(f string, a ...any)  { l.log.Warn(fmt.Sprintf(f, a...)) }
-func (l gnetLogger) Errorf(f string, a ...any) { l.log.Error(fmt.Sprintf(f, a...)) }
-func (l gnetLogger) Fatalf(f string, a ...any) { l.log.Error(fmt.Sprintf(f, a...)) }
+func (l gnetLogger) Debugf(format string, a ...any) { l.log.Debug(fmt.Sprintf(format, a...)) }
+func (l gnetLogger) Infof(format string, a ...any)  { l.log.Debug(fmt.Sprintf(format, a...)) }
+func (l gnetLogger) Warnf(format string, a ...any)  { l.log.Warn(fmt.Sprintf(format, a...)) }
+func (l gnetLogger) Errorf(format string, a ...any) { l.log.Error(fmt.Sprintf(format, a...)) }
+func (l gnetLogger) Fatalf(format string, a ...any) { l.log.Error(fmt.Sprintf(format, a...)) }
 
 var _ host.Executor = (*Proxy)(nil)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -23,14 +23,14 @@
 	"hatchproxy/logic"
 )
 
-// harness is one proxy with its stand-ins.
+// harness runs one proxy with a fake discovery service and fake servers.
 type harness struct {
 	*testing.T
 	listenAddr    string
 	list          *fleet.Hand
 	leaveSignals  chan os.Signal
 	reloadSignals chan os.Signal
-	readConfig    func() (proxy.ReloadedConfig, error) // what is read again
+	readConfig    func() (proxy.ReloadedConfig, error) // what a reload reads
 	runResult     chan error
 	proxy         *proxy.Proxy
 }
@@ -55,27 +55,29 @@
 
 var lastHost atomic.Uint32
 
-// uniqueHost is a loopback address that nobody else uses. Guards against two tests whose proxies get one port: each would hear
-// some of the other's clients, since proxies share ports (SO_REUSEPORT).
+// uniqueHost returns a loopback address that no other test uses. Proxies share ports (SO_REUSEPORT), so two tests whose
+// proxies got the same address and port would receive some of each other's clients.
 func uniqueHost() string {
 	n := lastHost.Add(1)
 	return fmt.Sprintf("127.4.%d.%d", n/250, n%250+1)
 }
 
-// startProxy starts a proxy before servers that answer so; each is named by its place.
+// startProxy starts a proxy with one server for each answer, named s0, s1 and so on; a server gives its answer to each
+// request line.
 func startProxy(t *testing.T, sockets int64, answers ...string) (*harness, []*fleet.Puppet) {
 	return startProxyWith(t, sockets, func(*proxy.Proxy) {}, answers...)
 }
 
-// startProxyWith has more done to the proxy before it runs.
-func startProxyWith(t *testing.T, sockets int64, more func(*proxy.Proxy), answers ...string) (*harness, []*fleet.Puppet) {
-	return startProxyWithConfig(t, baseConfig, sockets, more, answers...)
+// startProxyWith also runs configure on the proxy before it starts.
+func startProxyWith(t *testing.T, sockets int64, configure func(*proxy.Proxy), answers ...string) (*harness, []*fleet.Puppet) {
+	return startProxyWithConfig(t, baseConfig, sockets, configure, answers...)
 }
 
-// configWithoutProbes is for tests that count who stands: on a busy machine late probes move some.
+// configWithoutProbes is for tests that count established connections: on a busy machine late probes make the proxy
+// move some.
 var configWithoutProbes = strings.Replace(baseConfig, "limits.probes=true\n", "", 1)
 
-func startProxyWithConfig(t *testing.T, text string, sockets int64, more func(*proxy.Proxy), answers ...string) (*harness, []*fleet.Puppet) {
+func startProxyWithConfig(t *testing.T, config string, sockets int64, configure func(*proxy.Proxy), answers ...string) (*harness, []*fleet.Puppet) {
 	t.Parallel()
 	list, err := fleet.ByHand()
 	require.NoError(t, err)
@@ -93,19 +95,19 @@
 			return proxy.ReloadedConfig{}, errors.New("there is nothing to read again")
 		}}
 	require.NoError(t, free.Close())
-	b, err := platformconfig.SettingsFromLines(text).NewBalancer(7)
+	b, err := platformconfig.SettingsFromLines(config).NewBalancer(7)
 	require.NoError(t, err)
-	lines := &logBuffer{}
+	logged := &logBuffer{}
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("the proxy's log:\n%s", lines.tail(200))
+			t.Logf("the proxy's log:\n%s", logged.tail(200))
 		}
 	})
-	log := slog.New(slog.NewTextHandler(lines, &slog.HandlerOptions{Level: slog.LevelDebug}))
+	log := slog.New(slog.NewTextHandler(logged, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	p := proxy.New(testOptions(log, b, s.listenAddr, list, sockets))
 	s.proxy = p
 	p.Initialize(proxy.Info{Name: "n0", LogLevel: new(slog.LevelVar)}, nil)
-	more(p)
+	configure(p)
 	go func() {
 		s.runResult <- p.Run(s.leaveSignals, s.reloadSignals, func() (proxy.ReloadedConfig, error) { return s.readConfig() })
 	}()
@@ -122,35 +124,35 @@
 	return s, servers
 }
 
-// testOptions are those of a proxy with the classes chat and pay.
+// testOptions returns the options of a proxy with the classes chat and pay.
 func testOptions(log *slog.Logger, b *logic.Balancer, listen string, list *fleet.Hand, sockets int64) proxy.Options {
-	const deadline = 1500 * logic.Millisecond
+	const hardLimit = 1500 * logic.Millisecond
 	return proxy.Options{Log: log, Balancer: b, Listen: listen, Discovery: discovery.NewClient(list.Address(), time.Second),
-		Classes: []string{"chat", "pay"}, HardLimits: []logic.Micros{deadline, deadline}, Zones: []string{"a"}, Models: []string{"m"},
+		Classes: []string{"chat", "pay"}, HardLimits: []logic.Micros{hardLimit, hardLimit}, Zones: []string{"a"}, Models: []string{"m"},
 		DialTimeout: 250 * logic.Millisecond, LateThreshold: 50 * logic.Millisecond, MaxDescriptors: sockets}
 }
 
-// testClient is a client's connection.
+// testClient is a client's connection to the proxy.
 type testClient struct {
 	*harness
 	net.Conn
 	reader *bufio.Reader
 }
 
-func (s *harness) dial(words string) *testClient {
+func (s *harness) dial(text string) *testClient {
 	c, err := net.Dial("tcp", s.listenAddr)
 	require.NoError(s, err)
-	// Held to the test's end: one that nothing names any more is closed by the collector, and its client has left.
+	// Referenced until the end of the test: the garbage collector would close an unreferenced connection.
 	s.Cleanup(func() { _ = c.Close() })
-	_, err = c.Write([]byte(words))
+	_, err = c.Write([]byte(text))
 	require.NoError(s, err)
 	return &testClient{s, c, bufio.NewReader(c)}
 }
 
 var lastRequestID atomic.Uint64
 
-func (s *harness) openRequest(list string) *testClient {
-	return s.dial(fmt.Sprintf("OPEN %016x 7f3a %s\r\n", lastRequestID.Add(1), list))
+func (s *harness) openRequest(params string) *testClient {
+	return s.dial(fmt.Sprintf("OPEN %016x 7f3a %s\r\n", lastRequestID.Add(1), params))
 }
 
 func (c *testClient) expectLine(want string) {
@@ -169,8 +171,8 @@
 	require.Equal(c.harness, !reset, errors.Is(err, io.EOF), "%v", err)
 }
 
-func (c *testClient) send(words string) {
-	_, err := c.Write([]byte(words))
+func (c *testClient) send(text string) {
+	_, err := c.Write([]byte(text))
 	require.NoError(c.harness, err)
 }
 
@@ -203,13 +205,13 @@
 		said  string
 		tries int
 	}{
-		"BUSY":      {"BUSY", 3}, // never ran
-		"ERR":       {"ERR", 1},  // may have run: once only
+		"BUSY":      {"BUSY", 3}, // has not run
+		"ERR":       {"ERR", 1},  // may have run, and must not run twice
 		"FIN":       {"ERR", 1},
 		"RESET":     {"ERR", 1},
 		"NONE":      {"ERR", 1},
 		"GIBBERISH": {"ERR", 1},
-		"UP":        {"ERR", 1}, // no receipt
+		"UP":        {"ERR", 1}, // without the receipt that UP has to carry
 		"MOVE":      {"ERR", 1},
 	} {
 		t.Run(answer, func(t *testing.T) {
@@ -348,7 +350,7 @@
 
 func TestNearTheLimitOnSocketsClientsArePushedBack(t *testing.T) {
 	log := &logBuffer{}
-	s, _ := startProxyWith(t, 64, func(p *proxy.Proxy) { p.SetLogger(slog.New(slog.NewTextHandler(log, nil))) }, "UP a") // 32 of them are the program's own
+	s, _ := startProxyWith(t, 64, func(p *proxy.Proxy) { p.SetLogger(slog.New(slog.NewTextHandler(log, nil))) }, "UP a") // 32 descriptors are reserved for the program itself
 	up, busy := 0, 0
 	for range 40 {
 		c := s.openRequest("c=chat,d=1500")
@@ -381,7 +383,7 @@
 		require.NoError(t, err)
 		require.Contains(t, []string{"MOVE\r\n", "half a "}, string(rest), "no MOVE within a line")
 	}
-	// The last word may have come two seconds before the message.
+	// The server's last line may have come two seconds before the message.
 	require.Less(t, time.Since(began), 4*time.Second)
 }
 
@@ -457,8 +459,8 @@
 	require.Equal(t, 6, servers[0].Conns(), "one that breaks is opened again")
 }
 
-// Guards against figures of late messages that are read as loads: nothing else tells of a slow server, since it answers
-// its clients' lines at once.
+// Guards against reports of late messages that are taken for loads: nothing else shows that a server is slow, since it
+// answers its clients' lines at once.
 func TestClientsMoveOffAServerThatTellsOfLateMessages(t *testing.T) {
 	s, servers := startProxyWith(t, 1024, (*proxy.Proxy).ExpectDelays, "UP a", "UP b")
 	c := s.openRequest("c=chat,d=1500")
@@ -469,7 +471,7 @@
 	go func() {
 		_, _ = io.WriteString(at, "LOAD 90000\r\n")
 		for range 12 {
-			time.Sleep(time.Second) // what the test is about comes once a second
+			time.Sleep(time.Second) // servers report delays once a second
 			if _, err := io.WriteString(at, "LOAD 400\r\n"); err != nil {
 				return
 			}
--- a/internal/proxy/races_test.go
+++ b/internal/proxy/races_test.go
@@ -17,23 +17,24 @@
 	"hatchproxy/lab/fleet"
 )
 
-// startWithBlockedServer is a server whose connections take no more bytes when the proxy gets them, as the kernel's buffers are full of
-// probes: what the proxy writes waits in its own. The server reads when the test does.
+// startWithBlockedServer starts a proxy with a server to whose connections nothing can be written: the kernel's buffers
+// have been filled with probes before the proxy gets them, so what the proxy writes stays in its own buffer. The server
+// reads only when the test does.
 func startWithBlockedServer(t *testing.T) (*harness, <-chan net.Conn) {
-	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 	}}
-	l, err := small.Listen(context.Background(), "tcp", "127.0.0.1:0")
+	l, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	came := make(chan net.Conn, 10)
+	conns := make(chan net.Conn, 10)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			came <- c
+			conns <- c
 		}
 	}()
 	s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(p *proxy.Proxy) {
@@ -42,22 +43,23 @@
 			if err != nil {
 				return c, err
 			}
-			_ = c.(*net.TCPConn).SetWriteBuffer(4096) // of a fixed size from now on
+			_ = c.(*net.TCPConn).SetWriteBuffer(4096) // fixes the size, which the kernel would otherwise adjust
 			raw, err := c.(*net.TCPConn).SyscallConn()
 			if err != nil {
 				return nil, err
 			}
-			// Byte by byte at the end: a socket that turns a large write away may take a small one. Full is one that takes
-			// nothing some times in a row, with what is under way on loopback delivered between.
-			for full := 0; full < 5; {
-				full++
+			// The last bytes are written one by one, since a socket that refuses a large write may accept a small one.
+			// It counts as full when it has accepted nothing in several rounds, between which data under way on
+			// loopback is delivered.
+			for refused := 0; refused < 5; {
+				refused++
 				_ = raw.Control(func(fd uintptr) {
 					for _, part := range []string{strings.Repeat("PING\r\n", 512), "P"} {
 						for {
 							if n, err := syscall.Write(int(fd), []byte(part)); n <= 0 || err != nil {
 								break
 							}
-							full = 0
+							refused = 0
 						}
 					}
 				})
@@ -67,11 +69,12 @@
 		})
 	})
 	s.list.Set("s0", l.Addr().String(), "ready")
-	return s, came
+	return s, conns
 }
 
-// holdDials has what a proxy's dials bring wait until the test releases it; each is told as it comes up.
-func holdDials() (hold func(*proxy.Proxy), dialled chan struct{}, release chan struct{}) {
+// holdDials makes the results of a proxy's dials wait until the test closes release. Each dial that has completed is
+// signalled on dialled.
+func holdDials() (configure func(*proxy.Proxy), dialled chan struct{}, release chan struct{}) {
 	dialled, release = make(chan struct{}, 100), make(chan struct{})
 	return func(p *proxy.Proxy) {
 		p.InterceptDials(func(c net.Conn, err error) (net.Conn, error) {
@@ -82,18 +85,18 @@
 	}, dialled, release
 }
 
-// openUnsent opens a request whose line waits in the proxy. On a busy machine the kernel may find room for it after all, when
-// what is under way on loopback comes late: then it is another one's turn.
-func (s *harness) openUnsent(came <-chan net.Conn, list string) (*testClient, net.Conn) {
+// openUnsent opens a request whose line stays in the proxy's buffer. On a busy machine the kernel may find room for the
+// line after all, when data on loopback is delivered late; then another request is tried.
+func (s *harness) openUnsent(conns <-chan net.Conn, params string) (*testClient, net.Conn) {
 	s.Helper()
 	for sends := 1; sends <= 20; sends++ {
-		c := s.openRequest(list)
-		server := <-came
+		c := s.openRequest(params)
+		server := <-conns
 		s.waitForMetrics(fmt.Sprint("sends ", sends))
 		waits := true
 		for range 10 {
 			waits = waits && s.proxy.CountUnsentAttempts() == 1
-			time.Sleep(5 * time.Millisecond) // it is to wait for a while, not for a moment
+			time.Sleep(5 * time.Millisecond) // the line must stay unsent for some time, not just for a moment
 		}
 		if waits {
 			return c, server
@@ -106,7 +109,7 @@
 	return nil, nil
 }
 
-// readUntilQuiet reads what comes to a server until nothing has come for a while, or the end.
+// readUntilQuiet reads what arrives at a server until nothing has come for 400 ms or the connection has ended.
 func readUntilQuiet(t *testing.T, c net.Conn) string {
 	var b strings.Builder
 	part := make([]byte, 64<<10)
@@ -120,42 +123,44 @@
 	}
 }
 
-// A client left while its line was still in the proxy's buffer, and the line went out as soon as there was room.
+// Guards against a request that runs after its client has left: its line was still in the proxy's buffer when the
+// client left, and was sent as soon as there was room.
 func TestALineThatIsNotOutIsNotSentOnceItsClientIsGone(t *testing.T) {
-	s, came := startWithBlockedServer(t)
-	c, server := s.openUnsent(came, "c=pay,d=1500")
+	s, conns := startWithBlockedServer(t)
+	c, server := s.openUnsent(conns, "c=pay,d=1500")
 	defer server.Close()
 	require.NoError(t, c.Close())
 	s.waitForMetrics("current 0")
 	require.False(t, strings.Contains(readUntilQuiet(t, server), "OPEN"), "its line came")
 }
 
-// A one-shot line was taken late, by a buffer that had been full, and its server broke off: it may have run.
+// A one-shot request whose line was sent late, after the buffer had been full, may have run when its server breaks the
+// connection: it must fail and not be repeated.
 func TestALineThatWentOutLateMayHaveRun(t *testing.T) {
-	s, came := startWithBlockedServer(t)
+	s, conns := startWithBlockedServer(t)
 	c := s.openRequest("c=pay,d=1500")
-	server := <-came
+	server := <-conns
 	s.waitForMetrics("sends 1")
 	require.True(t, strings.Contains(readUntilQuiet(t, server), "OPEN"), "its line came")
 	fleet.Reset(server)
 	c.expectLine("ERR")
 	select {
-	case <-came:
+	case <-conns:
 		require.Fail(t, "it was sent again")
 	case <-time.After(100 * time.Millisecond):
 	}
 }
 
-// A line that never went out has never run: trying again is harmless, and the rest of it is not sent.
+// A request whose line was never sent completely has not run: it is pushed back, and the rest of the line is not sent.
 func TestALineThatNeverWentOutIsPushedBack(t *testing.T) {
-	s, came := startWithBlockedServer(t)
-	c, server := s.openUnsent(came, "c=pay,d=800")
+	s, conns := startWithBlockedServer(t)
+	c, server := s.openUnsent(conns, "c=pay,d=800")
 	defer server.Close()
 	c.expectLine("BUSY")
 	require.False(t, strings.Contains(readUntilQuiet(t, server), "OPEN"), "its line came")
 }
 
-// waitUntilClientGone waits until the proxy knows that a client has left: its id may come again.
+// waitUntilClientGone waits until the proxy has noticed that a client left, so that its ID may be used again.
 func (s *harness) waitUntilClientGone(id string) {
 	s.Helper()
 	require.Eventually(s, func() bool {
@@ -201,7 +206,8 @@
 	})
 }
 
-// The last word of a server reaches a client that goes on sending: a close over what it sent would be a reset.
+// The final line of a server must reach a client that is still sending: closing a connection with unread input would
+// send a reset.
 func TestTheLastWordOfAServerReachesAClientThatStillSends(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP a")
 	for range 20 {
@@ -230,7 +236,8 @@
 	}
 }
 
-// What was still dialled for when the proxy had to settle was told as failed, though nothing had been sent.
+// Guards against a request that is answered as failed when the proxy expires what is pending, although its server was
+// still being dialled and nothing had been sent.
 func TestWhatIsDialledForWhenTheProxySettlesNeverRan(t *testing.T) {
 	hold, dialled, release := holdDials()
 	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, hold, "UP a")
@@ -242,7 +249,7 @@
 	require.Empty(t, servers[0].Lines())
 }
 
-// Signals come again, and a new configuration in the midst of leaving.
+// A second signal to leave and a reload during leaving must not delay the end.
 func TestFurtherSignalsDoNotDisturbALeave(t *testing.T) {
 	s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {}, "UP a")
 	standing := s.openRequest("c=chat,d=1500")
@@ -256,12 +263,12 @@
 	require.Less(t, time.Since(began), 2300*time.Millisecond)
 }
 
-// A client rested until the proxy left, and asked then: it hears at once that it may try elsewhere.
+// A client that sends its request only while the proxy is leaving is pushed back at once.
 func TestARequestOnARestingConnectionOfAProxyThatLeavesIsPushedBack(t *testing.T) {
 	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {}, "UP a")
 	resting := s.dial("PING\r\n")
 	resting.expectLine("PONG")
-	pending := s.openRequest("c=pay,d=1500") // keeps it from ending at once
+	pending := s.openRequest("c=pay,d=1500") // keeps the proxy from ending at once
 	pending.expectLine("UP a")
 	s.leaveSignals <- syscall.SIGTERM
 	require.Eventually(t, func() bool { return s.openAndReadAnswer() == "BUSY" }, 2*time.Second, 5*time.Millisecond, "it takes no more")
@@ -271,7 +278,8 @@
 	require.Len(t, servers[0].Lines(), sent)
 }
 
-// A server says two things at once, or the second when the attempt is over: the client hears one.
+// The client gets exactly one answer, even if its server sends two at once or sends something after the attempt is
+// over.
 func TestAClientHearsOneAnswerWhateverAServerSays(t *testing.T) {
 	for answer, want := range map[string]string{
 		"BUSY\r\nUP b": "BUSY", "ERR\r\nUP b": "ERR", "ERR\r\nBUSY": "ERR", "MOVE\r\nUP b": "ERR", "UP\r\nUP b": "ERR",
@@ -289,7 +297,7 @@
 	}
 }
 
-// A proxy ended while a server was within a line: its client was cut off with half of it, and without MOVE.
+// Guards against a proxy that ends while a server is within a line: its client got half of the line and no MOVE.
 func TestALineThatIsHalfThroughIsWaitedForAtTheEnd(t *testing.T) {
 	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {}, "UP a")
 	c := s.openRequest("c=chat,d=1500")
@@ -308,7 +316,8 @@
 	require.NoError(t, <-s.runResult)
 }
 
-// Room was made by closing a connection over bytes that had just come: a reset, and the word to try again went with it.
+// Guards against a reset when a descriptor is freed by closing a connection with unread input: the final line was lost
+// with it.
 func TestWhoMakesRoomHearsItsLastWordOverBytesThatHaveJustCome(t *testing.T) {
 	s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {})
 	c := s.dial("PING\r\n")
@@ -319,8 +328,8 @@
 	require.Equal(t, "BUSY\r\n", string(text))
 }
 
-// A client left while its attempt was being dialled, and the loop had not come to read that when the dial came up: nothing is
-// sent, also in the very turn in which both come.
+// Guards against sending for a client that left during the dial, when the event loop handles the dial's result before
+// it has read the client's end.
 func TestNothingIsSentForAClientWhoseEndHasNotBeenRead(t *testing.T) {
 	hold, dialled, release := holdDials()
 	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, func(p *proxy.Proxy) {
@@ -332,7 +341,7 @@
 	s.proxy.StallLoopDuring(func() {
 		require.NoError(t, c.Close())
 		close(release)
-		time.Sleep(100 * time.Millisecond) // the dial's result waits for the loop, with the client's end behind it
+		time.Sleep(100 * time.Millisecond) // the dial's result is queued for the loop, ahead of the client's end
 	})
 	s.waitForMetrics("current 0")
 	require.Empty(t, servers[0].Lines())
--- a/internal/proxy/register.go
+++ b/internal/proxy/register.go
@@ -15,22 +15,22 @@
 	"hatchproxy/internal/transient"
 )
 
-// errNotRegistered is a connection that the loop let go at once: its poller did not take it, which its library does not
-// report.
-var errNotRegistered = errors.New("the event loop did not take a connection")
+// errNotRegistered reports that the event loop closed a new connection at once because its poller did not take it. gnet
+// does not report this case.
+var errNotRegistered = errors.New("the event loop did not register the connection")
 
-// registerTimeout is how long a connection that was accepted is tried to be registered; then its client is turned away, while
-// it still has time to try elsewhere.
+// registerTimeout bounds the retries to register an accepted connection. After that the client is refused, while it
+// still has time to try elsewhere.
 const registerTimeout = 250 * time.Millisecond
 
-// registration is a connection's context until the loop has opened it.
+// registration is the context of a connection until the event loop has opened it.
 type registration struct {
 	side   any
 	opened atomic.Bool
 }
 
-// register has the loop take a connection, and waits until it has. The connection belongs to the loop in any case: it
-// is closed where that fails.
+// register hands a connection to the event loop and waits until the loop has opened it. The connection belongs to the
+// loop in any case: it is closed on failure.
 func (p *Proxy) register(side any, conn net.Conn) error {
 	r := &registration{side: side}
 	result, err := p.loop.Enroll(gnet.NewContext(context.Background(), r), conn)
@@ -39,9 +39,9 @@
 		return err
 	}
 	select {
-	case done := <-result:
-		if done.Err != nil {
-			return done.Err
+	case registered := <-result:
+		if registered.Err != nil {
+			return registered.Err
 		}
 	case <-p.ctx.Done():
 		return p.ctx.Err()
@@ -52,10 +52,10 @@
 	return nil
 }
 
-// registerWithRetry does the same once more with a connection's descriptor, again while calls fail for a moment. One that cannot be
-// registered for a while is ended with a word. Guards against a client's connection that is closed without one, though
-// its request may have come. The file is closed in any case.
-func (p *Proxy) registerWithRetry(side any, file *os.File, word []byte) error {
+// registerWithRetry registers a connection's descriptor and retries for up to registerTimeout. If that fails, the final
+// line is written to the connection, so that a client is not closed without an answer although its request may have
+// arrived. The file is closed in any case.
+func (p *Proxy) registerWithRetry(side any, file *os.File, finalLine []byte) error {
 	defer file.Close()
 	ctx, cancel := context.WithTimeout(p.ctx, registerTimeout)
 	defer cancel()
@@ -64,15 +64,15 @@
 		return p.registerFile(side, file)
 	})
 	if err != nil && p.ctx.Err() == nil {
-		p.log.Warn("a connection is turned away, as it cannot be registered", "error", err)
+		p.log.Warn("cannot register a connection with the event loop; refusing it", "error", err)
 	}
 	if err != nil {
-		rejectFile(file, word)
+		rejectFile(file, finalLine)
 	}
 	return err
 }
 
-// registerFile registers a duplicate of a descriptor, which stays the caller's.
+// registerFile registers a duplicate of a descriptor; the file itself remains the caller's.
 func (p *Proxy) registerFile(side any, file *os.File) error {
 	conn, err := net.FileConn(file)
 	if err != nil {
@@ -81,28 +81,30 @@
 	return p.register(side, conn)
 }
 
+// alwaysRetry makes transient.Retry go on after any error.
 func alwaysRetry(error) bool { return true }
 
-// rejectFile says a last word on a connection that the loop never had. The file is closed by its owner.
-func rejectFile(file *os.File, word []byte) {
+// rejectFile writes a final line to a connection that the event loop never held, and ends its sending side. The caller
+// closes the file.
+func rejectFile(file *os.File, finalLine []byte) {
 	raw, err := file.SyscallConn()
 	if err != nil {
 		return
 	}
 	_ = raw.Control(func(fd uintptr) {
-		_, _ = unix.Write(int(fd), word) // a failure is the client's, or the connection's end
+		_, _ = unix.Write(int(fd), finalLine) // the write fails only if the connection has ended
 		_ = unix.Shutdown(int(fd), unix.SHUT_WR)
 		discardInput(int(fd))
 	})
 }
 
-// acceptClient has the loop take a client's connection.
+// acceptClient registers a newly accepted client connection with the event loop.
 func (p *Proxy) acceptClient(file *os.File) {
 	c := &client{connectedAt: p.now()}
 	if err := p.registerFile(c, file); err == nil {
 		_ = file.Close()
 		return
 	}
-	// Beside the acceptor: those behind it at the door are not held up.
-	go func() { _ = p.registerWithRetry(c, file, protocol.BusyLine(0)) }() // what fails was logged, and the client told
+	// In a goroutine of its own, so that the acceptor goes on with the connections behind this one.
+	go func() { _ = p.registerWithRetry(c, file, protocol.BusyLine(0)) }() // a failure has been logged and the client refused
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -8,16 +8,17 @@
 	"hatchproxy/logic"
 )
 
-// classConfig is what a client gets that asks for a class.
+// classConfig is what the settings say of one class.
 type classConfig struct {
 	product   logic.ProductID
-	hardLimit logic.Micros // its hard limit
+	hardLimit logic.Micros // the longest time that a request may wait for its answer
 }
 
-// ReloadedConfig is what a configuration says that was read again, each part's own figures as New takes them.
+// ReloadedConfig is the content of a configuration that was read again. Its fields correspond to those of Options and
+// to the parameters of SetListLimits.
 type ReloadedConfig struct {
 	Discovery                   *discovery.Client
-	Balancer                    *logic.Balancer // a new one, whose figures the running one takes over
+	Balancer                    *logic.Balancer // a new one, whose settings the running balancer takes over
 	Classes                     []string
 	HardLimits                  []logic.Micros
 	DialTimeout, LateThreshold  logic.Micros
@@ -26,38 +27,39 @@
 	PushedByAgent               bool
 }
 
-// setClasses replaces the classes that new clients may ask for. Those in hand keep what they began with.
-func (p *Proxy) setClasses(names []string, limits []logic.Micros, numbers []logic.ProductID) {
+// setClasses replaces the classes that new requests may name. Requests that were taken before keep their limits.
+func (p *Proxy) setClasses(names []string, hardLimits []logic.Micros, ids []logic.ProductID) {
 	p.classes = map[string]classConfig{}
 	for i, name := range names {
-		p.classes[name] = classConfig{numbers[i], limits[i]}
-		p.maxHardLimit = max(p.maxHardLimit, limits[i])
+		p.classes[name] = classConfig{ids[i], hardLimits[i]}
+		p.maxHardLimit = max(p.maxHardLimit, hardLimits[i])
 		p.counters.AddClass(name)
 	}
 }
 
-// Reload reads the configuration again; it holds whole or not at all.
+// Reload reads the configuration again and applies it completely or not at all.
 func (p *Proxy) Reload(ctx context.Context) error {
 	if p.readConfig == nil {
 		return errors.New("there is nothing to read again")
 	}
-	p.reloadMu.Lock() // one file after the other, in the order in which they hold
+	p.reloadMu.Lock() // files are applied in the order in which they were read
 	defer p.reloadMu.Unlock()
-	fresh, wrong := p.readConfig()
-	return errors.Join(wrong, p.runOnLoop(ctx, func() {
-		if wrong != nil {
+	config, readErr := p.readConfig()
+	return errors.Join(readErr, p.runOnLoop(ctx, func() {
+		if readErr != nil {
 			p.counters.ConfigsInvalid++
 			return
 		}
 		p.counters.ConfigsLoaded++
-		p.applyConfig(fresh)
-		p.switchService(fresh.Discovery)
-		p.log.Info("the configuration was read again", "classes", fresh.Classes)
+		p.applyConfig(config)
+		p.switchService(config.Discovery)
+		p.log.Info("configuration reloaded", "classes", config.Classes)
 	}))
 }
 
-func (p *Proxy) applyConfig(fresh ReloadedConfig) {
-	p.setClasses(fresh.Classes, fresh.HardLimits, p.instance.Reconfigure(fresh.Balancer))
-	p.dialTimeout, p.lateThreshold, p.delaysReported = fresh.DialTimeout, fresh.LateThreshold, fresh.DelaysReported
-	p.SetListLimits(fresh.DrainGrace, fresh.MaxPollInterval, fresh.PushedByAgent)
+// applyConfig applies a configuration, except for its discovery service.
+func (p *Proxy) applyConfig(config ReloadedConfig) {
+	p.setClasses(config.Classes, config.HardLimits, p.instance.Reconfigure(config.Balancer))
+	p.dialTimeout, p.lateThreshold, p.delaysReported = config.DialTimeout, config.LateThreshold, config.DelaysReported
+	p.SetListLimits(config.DrainGrace, config.MaxPollInterval, config.PushedByAgent)
 }
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -16,15 +16,15 @@
 	"hatchproxy/logic"
 )
 
-// reloadConfig has the proxy read its configuration again: text is the book, names are its classes in order.
+// reloadConfig makes the proxy reload its configuration: text holds the settings, names lists their classes in order.
 func (s *harness) reloadConfig(text string, names ...string) {
 	s.readConfig = func() (proxy.ReloadedConfig, error) {
-		rules, err := platformconfig.SettingsFromLines(text).NewBalancer(9)
+		balancer, err := platformconfig.SettingsFromLines(text).NewBalancer(9)
 		limits := make([]logic.Micros, len(names))
 		for i := range limits {
 			limits[i] = 900 * logic.Millisecond
 		}
-		return proxy.ReloadedConfig{Discovery: discovery.NewClient(s.list.Address(), time.Second), Balancer: rules, Classes: names, HardLimits: limits,
+		return proxy.ReloadedConfig{Discovery: discovery.NewClient(s.list.Address(), time.Second), Balancer: balancer, Classes: names, HardLimits: limits,
 			DialTimeout: 250 * logic.Millisecond, LateThreshold: 50 * logic.Millisecond}, err
 	}
 	s.reloadSignals <- syscall.SIGHUP
@@ -46,7 +46,7 @@
 	standing := s.openRequest("c=pay,d=1500")
 	standing.expectLine("UP a")
 	pending := s.openRequest("x=1,c=chat,d=20000") // harmless, and its dispatches time out
-	<-taken                                        // before the classes change: on a busy machine its line was read after that
+	<-taken                                        // must be read before the classes change, also on a busy machine
 	text := strings.NewReplacer("0.name=chat", "0.name=chat-2", "0.idempotency=repeatable", "0.idempotency=once",
 		"max-dispatches=3", "max-dispatches=1").Replace(baseConfig)
 	s.reloadConfig(text, "chat-2", "pay")
@@ -55,7 +55,7 @@
 	standing.send("M 1\r\n")
 	standing.expectLine("M 1")
 	began := time.Now()
-	s.openRequest("x=1,c=chat-2,d=20000").expectLine("ERR") // once only
+	s.openRequest("x=1,c=chat-2,d=20000").expectLine("ERR") // its class is now sent once only
 	require.Less(t, time.Since(began), 1100*time.Millisecond, "under its own hard limit")
 	pending.expectLine("BUSY")
 	s.waitForMetrics(`transactions{group="chat",state="deferred"} 1`, `transactions{group="chat-2",state="errored"} 1`)
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -7,36 +7,36 @@
 	"hatchproxy/logic"
 )
 
-// trace writes one step of a client's way into the log, at the level debug: lab/worth accounts for a day by these
-// lines. `asked` begins a way, `answered` or `ended` is its last; in between stand `sent`, `failed` and `up`.
-func (p *Proxy) trace(step string, c *client, more ...any) {
+// trace logs one step of a request at debug level. The first step of a request is `asked`, the last one `answered` or
+// `ended`; `sent`, `failed` and `up` come in between. lab/worth computes its accounts from these lines.
+func (p *Proxy) trace(step string, c *client, attrs ...any) {
 	if c.id == 0 || !p.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
-	p.log.Debug(step, append([]any{"id", uint64(c.id)}, more...)...)
+	p.log.Debug(step, append([]any{"id", uint64(c.id)}, attrs...)...)
 }
 
-// The ends of a standing connection, as `ended` tells them.
+// The reasons why an established connection ended, as the step `ended` and the metrics name them.
 const (
-	byClient     = "client"    // the client has ended it
-	byServer     = "server"    // its server has, or was lost
-	byCompletion = "served"    // its server has, and said that it was served to its end
-	byLeaving    = "leaving"   // moved, since this proxy leaves or evacuates
-	byDrain      = "drain"     // moved, since its server drains or is gone
-	byChoice     = "choice"    // moved off a late server, or home across zones
-	bySuccessor  = "successor" // passed on to the process that takes this one's place
-	bySilence    = "silence"   // moved, since its server brings nothing back
+	byClient     = "client"    // the client closed it
+	byServer     = "server"    // the server closed it or was lost
+	byCompletion = "served"    // the server closed it after reporting that the client has been served completely
+	byLeaving    = "leaving"   // moved because this proxy leaves or evacuates
+	byDrain      = "drain"     // moved because the server drains or has left the list
+	byChoice     = "choice"    // moved off a late server, or back to the client's own zone
+	bySuccessor  = "successor" // handed over to the successor process
+	bySilence    = "silence"   // moved because the server does not answer
 )
 
-// traceServers writes, once a second, what this proxy sees of the servers where its connections stand.
+// traceServers logs, once a second, what the balancer knows of each server with established or pending connections.
 func (p *Proxy) traceServers(now logic.Micros) {
 	if !p.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
 	for _, id := range p.sortedServerIDs() {
-		if seen, known := p.instance.ServerStatus(now, id); known && (seen.Connections > 0 || seen.Pending > 0) {
-			p.log.Debug("seen", "server", p.servers[id].uid, "standing", seen.Connections, "pending", seen.Pending,
-				"late", seen.Late, "pace", seen.SpeedFactor, "probe_us", int64(seen.LastProbe), "cold", seen.Cold)
+		if status, known := p.instance.ServerStatus(now, id); known && (status.Connections > 0 || status.Pending > 0) {
+			p.log.Debug("seen", "server", p.servers[id].uid, "standing", status.Connections, "pending", status.Pending,
+				"late", status.Late, "pace", status.SpeedFactor, "probe_us", int64(status.LastProbe), "cold", status.Cold)
 		}
 	}
 }
--- a/internal/proxy/trace_test.go
+++ b/internal/proxy/trace_test.go
@@ -13,7 +13,7 @@
 	"hatchproxy/internal/proxy"
 )
 
-// logBuffer is a log that may be read while it is written.
+// logBuffer is a log that can be read while it is being written.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -25,13 +25,13 @@
 	return k.text.Write(b)
 }
 
-func (k *logBuffer) contains(words string) bool {
+func (k *logBuffer) contains(text string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return strings.Contains(k.text.String(), words)
+	return strings.Contains(k.text.String(), text)
 }
 
-// tail is the end of the log.
+// tail returns the last lines of the log.
 func (k *logBuffer) tail(lines int) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -39,7 +39,7 @@
 	return strings.Join(all[max(0, len(all)-lines):], "\n")
 }
 
-// traceSteps are what the log tells of attachments, in order.
+// traceSteps returns the trace steps in the log, in order.
 func (k *logBuffer) traceSteps() (steps []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -53,8 +53,7 @@
 	return steps
 }
 
-// Where a day's worth had gone could not be told from logs: they had set-ups and no ends, and no name that led from one
-// proxy to the next.
+// At debug level each step of a request must be in the log, so that a request can be followed to its end.
 func TestEachStepOfAClientIsInTheLogOfWhoAsksForIt(t *testing.T) {
 	log := &logBuffer{}
 	s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(p *proxy.Proxy) {
