--- a/internal/proxy/control_test.go
+++ b/internal/proxy/control_test.go
@@ -41,11 +41,12 @@
 	return s, client, path
 }
 
+// drainOrder returns an order to drain a server.
 func drainOrder(term, number uint64, server string) orders.Order {
 	return orders.Order{ID: fmt.Sprint("o", number), Term: term, Number: number, Verb: orders.Drain, ServerUID: server}
 }
 
-func TestADrainByOrderSendsNothingNewThereAndMovesWhoStands(t *testing.T) {
+func TestADrainOrderStopsNewConnectionsAndMovesEstablishedOnes(t *testing.T) {
 	s, client, _ := startProxyWithControl(t, "UP a", "UP b")
 	ctx := context.Background()
 	var onA []*testClient
@@ -83,9 +84,9 @@
 			require.Zero(t, x.Standing)
 		}
 	}
-	back := drainOrder(1, 2, "s0")
-	back.Verb = orders.Undrain
-	ans, err = client.ApplyOrder(ctx, back)
+	undrain := drainOrder(1, 2, "s0")
+	undrain.Verb = orders.Undrain
+	ans, err = client.ApplyOrder(ctx, undrain)
 	require.NoError(t, err)
 	require.Equal(t, orders.Obeyed, ans.Verdict)
 	require.Eventually(t, func() bool {
@@ -108,23 +109,23 @@
 		_, _ = c.Write([]byte("POST /v1/orders HTTP/1.1\r\nHost: x\r\nContent-Le"))
 	}
 	for range 50 {
-		began := time.Now()
+		start := time.Now()
 		s.openRequest("c=chat,d=1500").expectLine("UP a")
-		require.Less(t, time.Since(began), 500*time.Millisecond)
+		require.Less(t, time.Since(start), 500*time.Millisecond)
 	}
 	require.Eventually(t, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		_, err := client.Status(ctx)
 		return err == nil
-	}, 15*time.Second, 50*time.Millisecond, "those who say nothing more are let go of")
+	}, 15*time.Second, 50*time.Millisecond, "stalled connections are closed")
 
 	raw := &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", path)
 	}}}
 	defer raw.CloseIdleConnections()
-	say := func(method, at, body string) (int, string) {
-		req, err := http.NewRequest(method, "http://x"+at, strings.NewReader(body))
+	call := func(method, path, body string) (int, string) {
+		req, err := http.NewRequest(method, "http://x"+path, strings.NewReader(body))
 		require.NoError(t, err)
 		resp, err := raw.Do(req)
 		require.NoError(t, err)
@@ -132,27 +133,27 @@
 		text, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode, string(bytes.TrimSpace(text))
 	}
-	status, text := say("POST", "/v2/orders", "{}")
+	status, text := call("POST", "/v2/orders", "{}")
 	require.Equal(t, http.StatusNotFound, status)
-	require.Contains(t, text, "control protocol 1 is spoken", "another version is told so")
-	status, text = say("POST", "/v1/orders", `{"id":"a","verb":"drain","server":"s0","gently":true}`)
+	require.Contains(t, text, "control protocol 1 is spoken", "a client of another protocol version is told so")
+	status, text = call("POST", "/v1/orders", `{"id":"a","verb":"drain","server":"s0","gently":true}`)
 	require.Equal(t, http.StatusBadRequest, status)
-	require.Contains(t, text, `unknown field \"gently\"`, "a word of a newer version is not passed over")
-	status, _ = say("POST", "/v1/orders", `{"id":"`+strings.Repeat("x", 1<<20)+`"}`)
+	require.Contains(t, text, `unknown field \"gently\"`, "unknown fields are rejected")
+	status, _ = call("POST", "/v1/orders", `{"id":"`+strings.Repeat("x", 1<<20)+`"}`)
 	require.Equal(t, http.StatusRequestEntityTooLarge, status)
-	status, _ = say("POST", "/v1/orders", `{} {}`)
+	status, _ = call("POST", "/v1/orders", `{} {}`)
 	require.Equal(t, http.StatusBadRequest, status)
-	status, _ = say("POST", "/v1/level", `{"level":"LOUD"}`)
+	status, _ = call("POST", "/v1/level", `{"level":"LOUD"}`)
 	require.Equal(t, http.StatusBadRequest, status)
 	require.NoError(t, client.SetLogLevel(context.Background(), slog.LevelDebug))
 	require.ErrorContains(t, client.Reload(context.Background()), "nothing to read again")
-	many := 0
+	tooMany := 0
 	for range 300 {
-		if status, _ := say("GET", "/v1/status", ""); status == http.StatusTooManyRequests {
-			many++
+		if status, _ := call("GET", "/v1/status", ""); status == http.StatusTooManyRequests {
+			tooMany++
 		}
 	}
-	require.Positive(t, many)
+	require.Positive(t, tooMany)
 	s.openRequest("c=chat,d=1500").expectLine("UP a")
 }
 
@@ -172,19 +173,19 @@
 	folder, err := os.MkdirTemp("", "hc")
 	require.NoError(t, err)
 	defer os.RemoveAll(folder)
-	left := filepath.Join(folder, "left.sock")
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: left, Net: "unix"})
+	leftover := filepath.Join(folder, "left.sock")
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: leftover, Net: "unix"})
 	require.NoError(t, err)
 	l.SetUnlinkOnClose(false)
-	_, err = control.Start("unix:"+left, nil, log)
+	_, err = control.Start("unix:"+leftover, nil, log)
 	require.ErrorContains(t, err, "somebody listens")
 	require.NoError(t, l.Close())
-	c, err := control.Start("unix:"+left, nil, log)
-	require.NoError(t, err, "what one left that was killed is taken over")
+	c, err := control.Start("unix:"+leftover, nil, log)
+	require.NoError(t, err, "the socket of a killed process is taken over")
 	c.Close()
 }
 
-func TestWhoIsTurnedAwayByALimitIsToldWhenToComeAndNothingIsSentOnForIt(t *testing.T) {
+func TestAClientRefusedByALimitGetsARetryTimeAndIsNotSentOn(t *testing.T) {
 	s, servers := startProxyWith(t, 1024, func(p *proxy.Proxy) {
 		p.SetLimiter((&limits.Limiter{SetupRate: limits.Rate{PerSecond: 0.5, Burst: 2}, MaxConnections: 2, MaxWait: 9 * logic.Second}).Init(1))
 	}, "UP a")
@@ -195,7 +196,7 @@
 		c := s.openRequest("c=chat,d=1500")
 		line, err := c.reader.ReadString('\n')
 		require.NoError(t, err)
-		require.Regexp(t, `^BUSY [1-9]\d{2,3}\r\n$`, line, "when there is room again")
+		require.Regexp(t, `^BUSY [1-9]\d{2,3}\r\n$`, line, "the time until there is room")
 	}
 	require.Len(t, servers[0].Lines(), 2)
 	st, err := s.proxy.Status(context.Background())
@@ -206,5 +207,5 @@
 		c := s.openRequest("c=chat,d=1500")
 		line, _ := c.reader.ReadString('\n')
 		return line == "UP a\r\n"
-	}, 9*time.Second, 50*time.Millisecond, "one that leaves makes room")
+	}, 9*time.Second, 50*time.Millisecond, "a client that leaves makes room")
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -43,7 +43,7 @@
 	acceptor    *acceptor     // accepts clients; nil until there is a listener
 	loopStarted chan struct{} // closed once loop is set
 	startTime   time.Time
-	startMicros logic.Micros
+	startMicros logic.Micros                       // startTime as Unix time
 	metrics     atomic.Pointer[telemetry.Snapshot] // the last published copy of the counters
 
 	reloadMu sync.Mutex // serializes calls of readConfig, which run outside the event loop
@@ -57,7 +57,7 @@
 	dialTimeout    logic.Micros
 	lateThreshold  logic.Micros // messages that take at least this long make a server late
 	delaysReported bool         // by the settings, servers report message delays in addition to loads
-	delayEvidence  int          // series of delays seen, less figures wrongly taken for a delay; between -1 and maxDelayEvidence
+	delayEvidence  int          // series of delays less figures wrongly taken for one; from -1 to maxDelayEvidence
 	maxSockets     int          // limit on openSockets
 
 	clients           map[logic.AttachmentID]*client
@@ -78,16 +78,16 @@
 	listVersion       int64
 	listFreshness     listFreshness
 	cancelWatch       context.CancelFunc
-	watchNumber       int // identifies the current watch; answers of earlier ones are ignored
-	ready             bool
+	watchNumber       int                                                          // identifies the current watch; answers of earlier ones are ignored
+	ready             bool                                                         // a list has been received, or could not be while cached servers are known
 	openSockets       int                                                          // descriptors of client and server connections
 	dialFunc          func(ctx context.Context, endpoint string) (net.Conn, error) // connects to a server
 	scheduledCalls    callHeap
 	wakeTimer         *time.Timer
 	mode              mode
-	modeGeneration    int // counts changes of mode; actions begun under an earlier mode stop
-	refuseRequests    bool
-	inAfterEvent      bool
+	modeGeneration    int  // counts changes of mode; actions begun under an earlier mode stop
+	refuseRequests    bool // new requests are refused, since the proxy leaves or evacuates
+	inAfterEvent      bool // a call of afterEvent is under way
 	counters          telemetry.Counters
 	metricsCopiedAt   logic.Micros // when metrics was last updated
 	metricsEnabled    bool         // metrics are copied for the admin interface
@@ -102,7 +102,7 @@
 	Balancer       *logic.Balancer // makes the decisions
 	Listen         string          // address for clients
 	Discovery      *discovery.Client
-	CachedList     []byte // server list of an earlier run, in the encoding of package discovery; may be nil
+	CachedList     []byte // of an earlier run, as discovery.Decode takes it; may be nil
 	Classes        []string
 	HardLimits     []logic.Micros // of the classes, in the same order
 	Zones          []string       // indexed by zone ID
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -35,6 +35,7 @@
 	proxy         *proxy.Proxy
 }
 
+// baseConfig is a configuration in the platform's form with the classes chat and pay; pay is one-shot.
 const baseConfig = `localities=a
 models=m
 membership-mode=subscribe
@@ -53,6 +54,7 @@
 invariants.ask-within-ms=3000
 `
 
+// lastHost counts the addresses that uniqueHost has returned.
 var lastHost atomic.Uint32
 
 // uniqueHost returns a loopback address that no other test uses. Proxies share ports (SO_REUSEPORT), so two tests whose
@@ -77,6 +79,8 @@
 // move some.
 var configWithoutProbes = strings.Replace(baseConfig, "limits.probes=true\n", "", 1)
 
+// startProxyWithConfig is startProxyWith with a configuration other than baseConfig. The proxy has the list when it
+// returns.
 func startProxyWithConfig(t *testing.T, config string, sockets int64, configure func(*proxy.Proxy), answers ...string) (*harness, []*fleet.Puppet) {
 	t.Parallel()
 	list, err := fleet.ByHand()
@@ -88,13 +92,13 @@
 		list.Set(fmt.Sprint("s", i), s.Address, "ready")
 		servers = append(servers, s)
 	}
-	free, err := net.Listen("tcp", uniqueHost()+":0")
+	placeholder, err := net.Listen("tcp", uniqueHost()+":0")
 	require.NoError(t, err)
-	s := &harness{T: t, listenAddr: free.Addr().String(), list: list, leaveSignals: make(chan os.Signal, 1), reloadSignals: make(chan os.Signal, 1),
+	s := &harness{T: t, listenAddr: placeholder.Addr().String(), list: list, leaveSignals: make(chan os.Signal, 1), reloadSignals: make(chan os.Signal, 1),
 		runResult: make(chan error, 1), readConfig: func() (proxy.ReloadedConfig, error) {
 			return proxy.ReloadedConfig{}, errors.New("there is nothing to read again")
 		}}
-	require.NoError(t, free.Close())
+	require.NoError(t, placeholder.Close())
 	b, err := platformconfig.SettingsFromLines(config).NewBalancer(7)
 	require.NoError(t, err)
 	logged := &logBuffer{}
@@ -120,7 +124,7 @@
 		_, _ = c.Write([]byte("PING\r\n"))
 		line, _ := bufio.NewReader(c).ReadString('\n')
 		return line == "PONG\r\n"
-	}, 5*time.Second, 10*time.Millisecond, "it is ready once it has had the list")
+	}, 5*time.Second, 10*time.Millisecond, "the proxy is ready once it has the list")
 	return s, servers
 }
 
@@ -139,6 +143,7 @@
 	reader *bufio.Reader
 }
 
+// dial connects to the proxy and sends the text.
 func (s *harness) dial(text string) *testClient {
 	c, err := net.Dial("tcp", s.listenAddr)
 	require.NoError(s, err)
@@ -149,12 +154,15 @@
 	return &testClient{s, c, bufio.NewReader(c)}
 }
 
+// lastRequestID makes the request IDs of openRequest unique.
 var lastRequestID atomic.Uint64
 
+// openRequest connects and sends an OPEN line with the given parameters.
 func (s *harness) openRequest(params string) *testClient {
 	return s.dial(fmt.Sprintf("OPEN %016x 7f3a %s\r\n", lastRequestID.Add(1), params))
 }
 
+// expectLine reads a line and requires it to be the wanted one.
 func (c *testClient) expectLine(want string) {
 	c.Helper()
 	require.NoError(c.harness, c.SetReadDeadline(time.Now().Add(9*time.Second)))
@@ -163,6 +171,7 @@
 	require.Equal(c.harness, want+"\r\n", line)
 }
 
+// expectEnd requires the connection to end, by a reset or by an orderly close.
 func (c *testClient) expectEnd(reset bool) {
 	c.Helper()
 	require.NoError(c.harness, c.SetReadDeadline(time.Now().Add(5*time.Second)))
@@ -184,7 +193,7 @@
 	c.expectLine("M 1 odd = words")
 	c.expectLine("M 2")
 	line := servers[0].Lines()[0]
-	require.Regexp(t, `^OPEN [0-9a-f]{16} 7f3a x=1,c=chat,d=1?\d{2,3},g=5c$`, line, "the own wait is told, all else unchanged")
+	require.Regexp(t, `^OPEN [0-9a-f]{16} 7f3a x=1,c=chat,d=1?\d{2,3},g=5c$`, line, "only the wait is replaced by the proxy's own")
 	require.NoError(t, servers[0].Last().Close())
 	c.expectEnd(false)
 
@@ -197,10 +206,10 @@
 	c.expectLine("UP toy")
 	fleet.Reset(c.Conn)
 	_, err := servers[0].Last().Read(make([]byte, 1))
-	require.Error(t, err, "the server's side ends with the client's")
+	require.Error(t, err, "the server's connection ends with the client's")
 }
 
-func TestWhatARefusalProvesDecidesWhetherItIsSentAgain(t *testing.T) {
+func TestARequestIsRepeatedOnlyIfTheAnswerProvesItNeverRan(t *testing.T) {
 	for answer, want := range map[string]struct {
 		said  string
 		tries int
@@ -216,24 +225,24 @@
 	} {
 		t.Run(answer, func(t *testing.T) {
 			s, servers := startProxy(t, 1024, answer)
-			began := time.Now()
+			start := time.Now()
 			c := s.openRequest("c=pay,d=700")
 			c.expectLine(want.said)
 			c.expectEnd(false)
-			require.Less(t, time.Since(began), 720*time.Millisecond, "before the client gives up")
+			require.Less(t, time.Since(start), 720*time.Millisecond, "before the client gives up")
 			require.Len(t, servers[0].Lines(), want.tries)
 		})
 	}
 }
 
-func TestNoServerThereIsNeverRan(t *testing.T) {
+func TestARequestToAnUnreachableServerIsPushedBack(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP a")
 	servers[0].Stop()
 	c := s.openRequest("c=pay,d=700")
 	c.expectLine("BUSY")
 }
 
-func TestAHungServerGivesWayToAnotherForWhatIsHarmless(t *testing.T) {
+func TestAHarmlessRequestMovesOnFromAHungServer(t *testing.T) {
 	s, _ := startProxy(t, 1024, "UP c")
 	hung, err := fleet.NewPuppet(func(string) string { return "NONE" })
 	require.NoError(t, err)
@@ -243,12 +252,12 @@
 	for range 4 {
 		s.openRequest("c=chat,d=1500").expectLine("UP c")
 	}
-	require.NotEmpty(t, hung.Lines(), "it was tried, as it held the fewest")
+	require.NotEmpty(t, hung.Lines(), "the hung server was tried, since it held the fewest connections")
 }
 
 func TestWrongLinesGetOnePlainLineAndTheEnd(t *testing.T) {
 	s, servers := startProxy(t, 1024, "NONE")
-	for words, want := range map[string]string{
+	for input, want := range map[string]string{
 		"HELLO\r\n":                                   "ERR the verb is unknown",
 		"OPEN 1 2 c=none,d=5\r\n":                     "ERR the class is unknown",
 		"OPEN 1 2 c=chat,d=x\r\n":                     `ERR d: "x" is no such number`,
@@ -267,8 +276,8 @@
 		strings.Repeat("PING\r\n", 33):                "ERR too many questions and no attachment",
 		"OPEN 1 2 c=chat,d=1500\r\nM 1 too early\r\n": "ERR bytes came before the connection was up",
 	} {
-		c := s.dial(words)
-		for range strings.Count(words, "PING\r\n") - 1 {
+		c := s.dial(input)
+		for range strings.Count(input, "PING\r\n") - 1 {
 			c.expectLine("PONG")
 		}
 		c.expectLine(want)
@@ -289,9 +298,9 @@
 	require.Len(t, servers[0].Lines(), 2)
 }
 
-func TestWhoSaysNothingIsAnsweredWithinThreeSecondsOfConnecting(t *testing.T) {
+func TestASilentClientIsAnsweredWithinThreeSecondsOfConnecting(t *testing.T) {
 	s, _ := startProxy(t, 1024, "UP a")
-	began := time.Now()
+	start := time.Now()
 	silent, asks, slow := s.dial(""), s.dial("PING\r\n"), s.dial("OPEN 1 ")
 	asks.expectLine("PONG")
 	for range 20 {
@@ -301,10 +310,10 @@
 	for _, c := range []*testClient{silent, asks, slow} {
 		c.expectLine("ERR nothing was asked")
 	}
-	require.Less(t, time.Since(began), 2900*time.Millisecond)
+	require.Less(t, time.Since(start), 2900*time.Millisecond)
 }
 
-func TestHundredsThatSayNothingDoNotCrowdOutWhoAsks(t *testing.T) {
+func TestHundredsOfSilentClientsDoNotCrowdOutRequests(t *testing.T) {
 	s, _ := startProxy(t, 64, "UP a")
 	for range 300 {
 		defer s.dial("").Close()
@@ -320,7 +329,7 @@
 	}
 }
 
-func TestTheLastWordReachesAClientThatStillSends(t *testing.T) {
+func TestTheFinalLineReachesAClientThatStillSends(t *testing.T) {
 	s, _ := startProxy(t, 1024, "UP a")
 	c := s.dial("HELLO\r\n")
 	for range 30 {
@@ -329,17 +338,17 @@
 	}
 	c.expectLine("ERR the verb is unknown")
 	c.expectEnd(false)
-	began := time.Now()
-	for time.Since(began) < 3*time.Second {
+	start := time.Now()
+	for time.Since(start) < 3*time.Second {
 		if _, err := c.Write([]byte("x")); err != nil {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatal("a client that never closes is closed in the end")
+	t.Fatal("the proxy did not close the connection of a client that never closes")
 }
 
-func TestAConnectionThatStoodGoesBackToItsServer(t *testing.T) {
+func TestAResumedConnectionGoesBackToItsServer(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP a", "UP b", "UP c")
 	for range 4 {
 		s.openRequest("c=chat,d=1500,at=s1").expectLine("UP b")
@@ -367,14 +376,14 @@
 	require.Eventually(t, func() bool { return log.contains("all sockets are in use for requests") }, 3*time.Second, 10*time.Millisecond, "and the log says why")
 }
 
-func TestAServerThatFallsSilentLosesItsClientsInTime(t *testing.T) {
+func TestClientsAreMovedOffAServerThatFallsSilent(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP MUTE")
 	c, cut := s.openRequest("c=chat,d=1500"), s.openRequest("c=chat,d=1500")
 	c.expectLine("UP MUTE")
 	cut.expectLine("UP MUTE")
 	_, err := servers[0].Last().Write([]byte("half a "))
 	require.NoError(t, err)
-	began := time.Now()
+	start := time.Now()
 	c.send("M 1\r\n")
 	cut.send("M 1\r\n")
 	for _, c := range []*testClient{c, cut} {
@@ -384,16 +393,16 @@
 		require.Contains(t, []string{"MOVE\r\n", "half a "}, string(rest), "no MOVE within a line")
 	}
 	// The server's last line may have come two seconds before the message.
-	require.Less(t, time.Since(began), 4*time.Second)
+	require.Less(t, time.Since(start), 4*time.Second)
 }
 
-func TestMovedClientsHearItBetweenTwoLinesWhenTheProxyLeaves(t *testing.T) {
+func TestALeavingProxySendsMoveOnlyBetweenLines(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP a")
 	c := s.openRequest("c=chat,d=1500")
 	c.expectLine("UP a")
 	_, err := servers[0].Last().Write([]byte("half a "))
 	require.NoError(t, err)
-	began := time.Now()
+	start := time.Now()
 	s.leaveSignals <- syscall.SIGTERM
 	time.Sleep(100 * time.Millisecond)
 	late := s.openRequest("c=chat,d=1500")
@@ -408,21 +417,21 @@
 	case err := <-s.runResult:
 		require.NoError(t, err)
 	case <-time.After(3 * time.Second):
-		t.Fatal("it never left")
+		t.Fatal("the proxy did not end")
 	}
-	require.Less(t, time.Since(began), 2200*time.Millisecond, "well before it would be killed")
+	require.Less(t, time.Since(start), 2200*time.Millisecond, "well before SIGKILL")
 }
 
-func TestWhatIsPendingIsAnsweredBeforeTheProxyMustGo(t *testing.T) {
+func TestPendingRequestsAreAnsweredBeforeTheProxyLeaves(t *testing.T) {
 	s, _ := startProxy(t, 1024, "NONE")
 	chat, pay := s.openRequest("c=chat,d=20000"), s.openRequest("c=pay,d=20000")
-	began := time.Now()
+	start := time.Now()
 	time.Sleep(50 * time.Millisecond)
 	s.leaveSignals <- syscall.SIGTERM
 	chat.expectLine("BUSY")
 	pay.expectLine("ERR")
 	require.NoError(t, <-s.runResult)
-	require.Less(t, time.Since(began), 2200*time.Millisecond)
+	require.Less(t, time.Since(start), 2200*time.Millisecond)
 }
 
 func TestWithoutTheListTheLastOneIsKeptAndAskedForAgain(t *testing.T) {
@@ -444,7 +453,7 @@
 	}
 }
 
-func TestAServerWithConnectionsIsProbedOnOneOfItsOwn(t *testing.T) {
+func TestProbesUseAConnectionOfTheirOwn(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP a")
 	for range 4 {
 		c := s.openRequest("c=chat,d=1500")
@@ -456,23 +465,23 @@
 	fleet.Reset(servers[0].Prober())
 	probes := servers[0].Probes()
 	require.Eventually(t, func() bool { return servers[0].Probes() > probes+1 }, 6*time.Second, 20*time.Millisecond)
-	require.Equal(t, 6, servers[0].Conns(), "one that breaks is opened again")
+	require.Equal(t, 6, servers[0].Conns(), "a broken probe connection is replaced")
 }
 
 // Guards against reports of late messages that are taken for loads: nothing else shows that a server is slow, since it
 // answers its clients' lines at once.
-func TestClientsMoveOffAServerThatTellsOfLateMessages(t *testing.T) {
+func TestClientsMoveOffAServerThatReportsLateMessages(t *testing.T) {
 	s, servers := startProxyWith(t, 1024, (*proxy.Proxy).ExpectDelays, "UP a", "UP b")
 	c := s.openRequest("c=chat,d=1500")
 	defer c.Close()
 	line, err := c.reader.ReadString('\n')
 	require.NoError(t, err)
-	at := servers[int(line[3]-'a')].Last()
+	serverConn := servers[int(line[3]-'a')].Last()
 	go func() {
-		_, _ = io.WriteString(at, "LOAD 90000\r\n")
+		_, _ = io.WriteString(serverConn, "LOAD 90000\r\n")
 		for range 12 {
 			time.Sleep(time.Second) // servers report delays once a second
-			if _, err := io.WriteString(at, "LOAD 400\r\n"); err != nil {
+			if _, err := io.WriteString(serverConn, "LOAD 400\r\n"); err != nil {
 				return
 			}
 		}
--- a/internal/proxy/races_test.go
+++ b/internal/proxy/races_test.go
@@ -105,7 +105,7 @@
 		s.waitForMetrics("current 0")
 		require.NoError(s, server.Close())
 	}
-	require.Fail(s, "the kernel took all lines")
+	require.Fail(s, "the kernel accepted every line")
 	return nil, nil
 }
 
@@ -125,39 +125,39 @@
 
 // Guards against a request that runs after its client has left: its line was still in the proxy's buffer when the
 // client left, and was sent as soon as there was room.
-func TestALineThatIsNotOutIsNotSentOnceItsClientIsGone(t *testing.T) {
+func TestAnUnsentLineIsNotSentOnceItsClientHasLeft(t *testing.T) {
 	s, conns := startWithBlockedServer(t)
 	c, server := s.openUnsent(conns, "c=pay,d=1500")
 	defer server.Close()
 	require.NoError(t, c.Close())
 	s.waitForMetrics("current 0")
-	require.False(t, strings.Contains(readUntilQuiet(t, server), "OPEN"), "its line came")
+	require.False(t, strings.Contains(readUntilQuiet(t, server), "OPEN"), "the request line at the server")
 }
 
 // A one-shot request whose line was sent late, after the buffer had been full, may have run when its server breaks the
 // connection: it must fail and not be repeated.
-func TestALineThatWentOutLateMayHaveRun(t *testing.T) {
+func TestARequestWhoseLineWasSentLateMayHaveRun(t *testing.T) {
 	s, conns := startWithBlockedServer(t)
 	c := s.openRequest("c=pay,d=1500")
 	server := <-conns
 	s.waitForMetrics("sends 1")
-	require.True(t, strings.Contains(readUntilQuiet(t, server), "OPEN"), "its line came")
+	require.True(t, strings.Contains(readUntilQuiet(t, server), "OPEN"), "the request line at the server")
 	fleet.Reset(server)
 	c.expectLine("ERR")
 	select {
 	case <-conns:
-		require.Fail(t, "it was sent again")
+		require.Fail(t, "the request was sent again")
 	case <-time.After(100 * time.Millisecond):
 	}
 }
 
 // A request whose line was never sent completely has not run: it is pushed back, and the rest of the line is not sent.
-func TestALineThatNeverWentOutIsPushedBack(t *testing.T) {
+func TestARequestWhoseLineWasNeverSentIsPushedBack(t *testing.T) {
 	s, conns := startWithBlockedServer(t)
 	c, server := s.openUnsent(conns, "c=pay,d=800")
 	defer server.Close()
 	c.expectLine("BUSY")
-	require.False(t, strings.Contains(readUntilQuiet(t, server), "OPEN"), "its line came")
+	require.False(t, strings.Contains(readUntilQuiet(t, server), "OPEN"), "the request line at the server")
 }
 
 // waitUntilClientGone waits until the proxy has noticed that a client left, so that its ID may be used again.
@@ -173,7 +173,7 @@
 
 // Whatever a request waits for, nothing is sent for it once its client has left.
 func TestNothingIsSentForAClientThatHasLeft(t *testing.T) {
-	t.Run("it waits for a server on the list", func(t *testing.T) {
+	t.Run("waiting for a server on the list", func(t *testing.T) {
 		s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {})
 		require.NoError(t, s.dial("OPEN 99 7 c=pay,d=1500\r\n").Close())
 		s.waitUntilClientGone("99")
@@ -181,11 +181,11 @@
 		require.NoError(t, err)
 		s.list.Set("s0", server.Address, "ready")
 		s.openRequest("c=pay,d=1500").expectLine("UP puppet")
-		require.Len(t, server.Lines(), 1, "that of the one that is still there")
+		require.Len(t, server.Lines(), 1, "only the line of the client that is still connected")
 	})
-	t.Run("it waits for a dial", func(t *testing.T) {
-		hold, dialled, release := holdDials()
-		s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, hold)
+	t.Run("waiting for a dial", func(t *testing.T) {
+		configure, dialled, release := holdDials()
+		s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, configure)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer l.Close()
@@ -201,19 +201,19 @@
 		close(release)
 		require.NoError(t, server.SetReadDeadline(time.Now().Add(5*time.Second)))
 		text, err := io.ReadAll(server)
-		require.NoError(t, err, "it is closed")
+		require.NoError(t, err, "the connection is closed")
 		require.Empty(t, string(text))
 	})
 }
 
 // The final line of a server must reach a client that is still sending: closing a connection with unread input would
 // send a reset.
-func TestTheLastWordOfAServerReachesAClientThatStillSends(t *testing.T) {
+func TestTheFinalLineOfAServerReachesAClientThatStillSends(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP a")
 	for range 20 {
 		c := s.openRequest("c=chat,d=1500")
 		c.expectLine("UP a")
-		at := servers[0].Last()
+		serverConn := servers[0].Last()
 		stop := make(chan struct{})
 		go func() {
 			for {
@@ -225,9 +225,9 @@
 				}
 			}
 		}()
-		_, err := io.WriteString(at, "BYE\r\n")
+		_, err := io.WriteString(serverConn, "BYE\r\n")
 		require.NoError(t, err)
-		require.NoError(t, at.(*net.TCPConn).CloseWrite())
+		require.NoError(t, serverConn.(*net.TCPConn).CloseWrite())
 		text, err := io.ReadAll(bufio.NewReader(c))
 		close(stop)
 		require.NoError(t, err, "an end, not a reset")
@@ -238,9 +238,9 @@
 
 // Guards against a request that is answered as failed when the proxy expires what is pending, although its server was
 // still being dialled and nothing had been sent.
-func TestWhatIsDialledForWhenTheProxySettlesNeverRan(t *testing.T) {
-	hold, dialled, release := holdDials()
-	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, hold, "UP a")
+func TestARequestThatExpiresDuringItsDialNeverRan(t *testing.T) {
+	configure, dialled, release := holdDials()
+	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, configure, "UP a")
 	c := s.openRequest("c=pay,d=1500")
 	<-dialled
 	s.proxy.AnswerPending()
@@ -252,29 +252,29 @@
 // A second signal to leave and a reload during leaving must not delay the end.
 func TestFurtherSignalsDoNotDisturbALeave(t *testing.T) {
 	s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {}, "UP a")
-	standing := s.openRequest("c=chat,d=1500")
-	standing.expectLine("UP a")
-	began := time.Now()
+	established := s.openRequest("c=chat,d=1500")
+	established.expectLine("UP a")
+	start := time.Now()
 	s.leaveSignals <- syscall.SIGTERM
 	s.reloadConfig(configWithoutProbes, "chat", "pay")
 	s.leaveSignals <- syscall.SIGTERM
-	standing.expectLine("MOVE")
+	established.expectLine("MOVE")
 	require.NoError(t, <-s.runResult)
-	require.Less(t, time.Since(began), 2300*time.Millisecond)
+	require.Less(t, time.Since(start), 2300*time.Millisecond)
 }
 
 // A client that sends its request only while the proxy is leaving is pushed back at once.
 func TestARequestOnARestingConnectionOfAProxyThatLeavesIsPushedBack(t *testing.T) {
 	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {}, "UP a")
-	resting := s.dial("PING\r\n")
-	resting.expectLine("PONG")
+	idle := s.dial("PING\r\n")
+	idle.expectLine("PONG")
 	pending := s.openRequest("c=pay,d=1500") // keeps the proxy from ending at once
 	pending.expectLine("UP a")
 	s.leaveSignals <- syscall.SIGTERM
-	require.Eventually(t, func() bool { return s.openAndReadAnswer() == "BUSY" }, 2*time.Second, 5*time.Millisecond, "it takes no more")
+	require.Eventually(t, func() bool { return s.openAndReadAnswer() == "BUSY" }, 2*time.Second, 5*time.Millisecond, "the proxy refuses new requests")
 	sent := len(servers[0].Lines())
-	resting.send("OPEN 98 7 c=pay,d=1500\r\n")
-	resting.expectLine("BUSY")
+	idle.send("OPEN 98 7 c=pay,d=1500\r\n")
+	idle.expectLine("BUSY")
 	require.Len(t, servers[0].Lines(), sent)
 }
 
@@ -298,7 +298,7 @@
 }
 
 // Guards against a proxy that ends while a server is within a line: its client got half of the line and no MOVE.
-func TestALineThatIsHalfThroughIsWaitedForAtTheEnd(t *testing.T) {
+func TestQuittingWaitsForAPartlyRelayedLine(t *testing.T) {
 	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {}, "UP a")
 	c := s.openRequest("c=chat,d=1500")
 	c.expectLine("UP a")
@@ -318,7 +318,7 @@
 
 // Guards against a reset when a descriptor is freed by closing a connection with unread input: the final line was lost
 // with it.
-func TestWhoMakesRoomHearsItsLastWordOverBytesThatHaveJustCome(t *testing.T) {
+func TestAnEvictedClientGetsItsFinalLineDespiteUnreadInput(t *testing.T) {
 	s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {})
 	c := s.dial("PING\r\n")
 	c.expectLine("PONG")
@@ -330,11 +330,11 @@
 
 // Guards against sending for a client that left during the dial, when the event loop handles the dial's result before
 // it has read the client's end.
-func TestNothingIsSentForAClientWhoseEndHasNotBeenRead(t *testing.T) {
-	hold, dialled, release := holdDials()
+func TestNothingIsSentForAClientWhoseCloseIsStillUnread(t *testing.T) {
+	configure, dialled, release := holdDials()
 	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, func(p *proxy.Proxy) {
 		p.EnableMetrics()
-		hold(p)
+		configure(p)
 	}, "UP a")
 	c := s.openRequest("c=pay,d=1500")
 	<-dialled
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -32,10 +32,10 @@
 
 func TestClassesComeAndGoWhileOpenConnectionsGoOn(t *testing.T) {
 	s, _ := startProxyWith(t, 1024, (*proxy.Proxy).EnableMetrics)
-	taken := make(chan struct{}, 20)
+	received := make(chan struct{}, 20)
 	server, err := fleet.NewPuppet(func(line string) string {
 		if strings.Contains(line, "x=1") {
-			taken <- struct{}{}
+			received <- struct{}{}
 			return "NONE"
 		}
 		return "UP a"
@@ -43,25 +43,25 @@
 	require.NoError(t, err)
 	s.list.Set("s0", server.Address, "ready")
 	s.waitForMetrics("cluster_size 1")
-	standing := s.openRequest("c=pay,d=1500")
-	standing.expectLine("UP a")
+	established := s.openRequest("c=pay,d=1500")
+	established.expectLine("UP a")
 	pending := s.openRequest("x=1,c=chat,d=20000") // harmless, and its dispatches time out
-	<-taken                                        // must be read before the classes change, also on a busy machine
+	<-received                                     // must be read before the classes change, also on a busy machine
 	text := strings.NewReplacer("0.name=chat", "0.name=chat-2", "0.idempotency=repeatable", "0.idempotency=once",
 		"max-dispatches=3", "max-dispatches=1").Replace(baseConfig)
 	s.reloadConfig(text, "chat-2", "pay")
 	s.waitForMetrics("conf_loaded 1", `transactions{group="chat-2",state="answered"} 0`, `transactions{group="pay",state="answered"} 1`)
 	s.openRequest("c=chat,d=1500").expectLine("ERR the class is unknown")
-	standing.send("M 1\r\n")
-	standing.expectLine("M 1")
-	began := time.Now()
+	established.send("M 1\r\n")
+	established.expectLine("M 1")
+	start := time.Now()
 	s.openRequest("x=1,c=chat-2,d=20000").expectLine("ERR") // its class is now sent once only
-	require.Less(t, time.Since(began), 1100*time.Millisecond, "under its own hard limit")
+	require.Less(t, time.Since(start), 1100*time.Millisecond, "under its own hard limit")
 	pending.expectLine("BUSY")
 	s.waitForMetrics(`transactions{group="chat",state="deferred"} 1`, `transactions{group="chat-2",state="errored"} 1`)
 }
 
-func TestAFileThatIsTurnedDownChangesNothing(t *testing.T) {
+func TestAnInvalidConfigurationChangesNothing(t *testing.T) {
 	s, _ := startProxyWith(t, 1024, (*proxy.Proxy).EnableMetrics, "UP a")
 	s.readConfig = func() (proxy.ReloadedConfig, error) { return proxy.ReloadedConfig{}, errors.New("cut short") }
 	s.reloadSignals <- syscall.SIGHUP
--- a/internal/proxy/trace_test.go
+++ b/internal/proxy/trace_test.go
@@ -25,6 +25,7 @@
 	return k.text.Write(b)
 }
 
+// contains reports whether the text has been logged.
 func (k *logBuffer) contains(text string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -54,7 +55,7 @@
 }
 
 // At debug level each step of a request must be in the log, so that a request can be followed to its end.
-func TestEachStepOfAClientIsInTheLogOfWhoAsksForIt(t *testing.T) {
+func TestEachStepOfARequestIsInTheDebugLog(t *testing.T) {
 	log := &logBuffer{}
 	s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(p *proxy.Proxy) {
 		p.SetLogger(slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug})))
