--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -23,18 +23,19 @@
 	"hatchproxy/logic"
 )
 
-// harness is one proxy with its stand-ins.
+// harness runs one proxy with a fake discovery service and fake servers.
 type harness struct {
 	*testing.T
 	listenAddr    string
 	list          *fleet.Hand
 	leaveSignals  chan os.Signal
 	reloadSignals chan os.Signal
-	readConfig    func() (proxy.ReloadedConfig, error) // what is read again
+	readConfig    func() (proxy.ReloadedConfig, error) // what a reload reads
 	runResult     chan error
 	proxy         *proxy.Proxy
 }
 
+// baseConfig is a configuration in the platform's form with the classes chat and pay; pay is one-shot.
 const baseConfig = `localities=a
 models=m
 membership-mode=subscribe
@@ -53,29 +54,34 @@
 invariants.ask-within-ms=3000
 `
 
+// lastHost counts the addresses that uniqueHost has returned.
 var lastHost atomic.Uint32
 
-// uniqueHost is a loopback address that nobody else uses. Guards against two tests whose proxies get one port: each would hear
-// some of the other's clients, since proxies share ports (SO_REUSEPORT).
+// uniqueHost returns a loopback address that no other test uses. Proxies share ports (SO_REUSEPORT), so two tests whose
+// proxies got the same address and port would receive some of each other's clients.
 func uniqueHost() string {
 	n := lastHost.Add(1)
 	return fmt.Sprintf("127.4.%d.%d", n/250, n%250+1)
 }
 
-// startProxy starts a proxy before servers that answer so; each is named by its place.
+// startProxy starts a proxy with one server for each answer, named s0, s1 and so on; a server gives its answer to each
+// request line.
 func startProxy(t *testing.T, sockets int64, answers ...string) (*harness, []*fleet.Puppet) {
 	return startProxyWith(t, sockets, func(*proxy.Proxy) {}, answers...)
 }
 
-// startProxyWith has more done to the proxy before it runs.
-func startProxyWith(t *testing.T, sockets int64, more func(*proxy.Proxy), answers ...string) (*harness, []*fleet.Puppet) {
-	return startProxyWithConfig(t, baseConfig, sockets, more, answers...)
+// startProxyWith also runs configure on the proxy before it starts.
+func startProxyWith(t *testing.T, sockets int64, configure func(*proxy.Proxy), answers ...string) (*harness, []*fleet.Puppet) {
+	return startProxyWithConfig(t, baseConfig, sockets, configure, answers...)
 }
 
-// configWithoutProbes is for tests that count who stands: on a busy machine late probes move some.
+// configWithoutProbes is for tests that count established connections: on a busy machine late probes make the proxy
+// move some.
 var configWithoutProbes = strings.Replace(baseConfig, "limits.probes=true\n", "", 1)
 
-func startProxyWithConfig(t *testing.T, text string, sockets int64, more func(*proxy.Proxy), answers ...string) (*harness, []*fleet.Puppet) {
+// startProxyWithConfig is startProxyWith with a configuration other than baseConfig. The proxy has the list when it
+// returns.
+func startProxyWithConfig(t *testing.T, config string, sockets int64, configure func(*proxy.Proxy), answers ...string) (*harness, []*fleet.Puppet) {
 	t.Parallel()
 	list, err := fleet.ByHand()
 	require.NoError(t, err)
@@ -86,26 +92,26 @@
 		list.Set(fmt.Sprint("s", i), s.Address, "ready")
 		servers = append(servers, s)
 	}
-	free, err := net.Listen("tcp", uniqueHost()+":0")
+	placeholder, err := net.Listen("tcp", uniqueHost()+":0")
 	require.NoError(t, err)
-	s := &harness{T: t, listenAddr: free.Addr().String(), list: list, leaveSignals: make(chan os.Signal, 1), reloadSignals: make(chan os.Signal, 1),
+	s := &harness{T: t, listenAddr: placeholder.Addr().String(), list: list, leaveSignals: make(chan os.Signal, 1), reloadSignals: make(chan os.Signal, 1),
 		runResult: make(chan error, 1), readConfig: func() (proxy.ReloadedConfig, error) {
 			return proxy.ReloadedConfig{}, errors.New("there is nothing to read again")
 		}}
-	require.NoError(t, free.Close())
-	b, err := platformconfig.SettingsFromLines(text).NewBalancer(7)
+	require.NoError(t, placeholder.Close())
+	b, err := platformconfig.SettingsFromLines(config).NewBalancer(7)
 	require.NoError(t, err)
-	lines := &logBuffer{}
+	logged := &logBuffer{}
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("the proxy's log:\n%s", lines.tail(200))
+			t.Logf("the proxy's log:\n%s", logged.tail(200))
 		}
 	})
-	log := slog.New(slog.NewTextHandler(lines, &slog.HandlerOptions{Level: slog.LevelDebug}))
+	log := slog.New(slog.NewTextHandler(logged, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	p := proxy.New(testOptions(log, b, s.listenAddr, list, sockets))
 	s.proxy = p
 	p.Initialize(proxy.Info{Name: "n0", LogLevel: new(slog.LevelVar)}, nil)
-	more(p)
+	configure(p)
 	go func() {
 		s.runResult <- p.Run(s.leaveSignals, s.reloadSignals, func() (proxy.ReloadedConfig, error) { return s.readConfig() })
 	}()
@@ -118,41 +124,45 @@
 		_, _ = c.Write([]byte("PING\r\n"))
 		line, _ := bufio.NewReader(c).ReadString('\n')
 		return line == "PONG\r\n"
-	}, 5*time.Second, 10*time.Millisecond, "it is ready once it has had the list")
+	}, 5*time.Second, 10*time.Millisecond, "the proxy is ready once it has the list")
 	return s, servers
 }
 
-// testOptions are those of a proxy with the classes chat and pay.
+// testOptions returns the options of a proxy with the classes chat and pay.
 func testOptions(log *slog.Logger, b *logic.Balancer, listen string, list *fleet.Hand, sockets int64) proxy.Options {
-	const deadline = 1500 * logic.Millisecond
+	const hardLimit = 1500 * logic.Millisecond
 	return proxy.Options{Log: log, Balancer: b, Listen: listen, Discovery: discovery.NewClient(list.Address(), time.Second),
-		Classes: []string{"chat", "pay"}, HardLimits: []logic.Micros{deadline, deadline}, Zones: []string{"a"}, Models: []string{"m"},
+		Classes: []string{"chat", "pay"}, HardLimits: []logic.Micros{hardLimit, hardLimit}, Zones: []string{"a"}, Models: []string{"m"},
 		DialTimeout: 250 * logic.Millisecond, LateThreshold: 50 * logic.Millisecond, MaxDescriptors: sockets}
 }
 
-// testClient is a client's connection.
+// testClient is a client's connection to the proxy.
 type testClient struct {
 	*harness
 	net.Conn
 	reader *bufio.Reader
 }
 
-func (s *harness) dial(words string) *testClient {
+// dial connects to the proxy and sends the text.
+func (s *harness) dial(text string) *testClient {
 	c, err := net.Dial("tcp", s.listenAddr)
 	require.NoError(s, err)
-	// Held to the test's end: one that nothing names any more is closed by the collector, and its client has left.
+	// Referenced until the end of the test: the garbage collector would close an unreferenced connection.
 	s.Cleanup(func() { _ = c.Close() })
-	_, err = c.Write([]byte(words))
+	_, err = c.Write([]byte(text))
 	require.NoError(s, err)
 	return &testClient{s, c, bufio.NewReader(c)}
 }
 
+// lastRequestID makes the request IDs of openRequest unique.
 var lastRequestID atomic.Uint64
 
-func (s *harness) openRequest(list string) *testClient {
-	return s.dial(fmt.Sprintf("OPEN %016x 7f3a %s\r\n", lastRequestID.Add(1), list))
+// openRequest connects and sends an OPEN line with the given parameters.
+func (s *harness) openRequest(params string) *testClient {
+	return s.dial(fmt.Sprintf("OPEN %016x 7f3a %s\r\n", lastRequestID.Add(1), params))
 }
 
+// expectLine reads a line and requires it to be the wanted one.
 func (c *testClient) expectLine(want string) {
 	c.Helper()
 	require.NoError(c.harness, c.SetReadDeadline(time.Now().Add(9*time.Second)))
@@ -161,6 +171,7 @@
 	require.Equal(c.harness, want+"\r\n", line)
 }
 
+// expectEnd requires the connection to end, by a reset or by an orderly close.
 func (c *testClient) expectEnd(reset bool) {
 	c.Helper()
 	require.NoError(c.harness, c.SetReadDeadline(time.Now().Add(5*time.Second)))
@@ -169,8 +180,8 @@
 	require.Equal(c.harness, !reset, errors.Is(err, io.EOF), "%v", err)
 }
 
-func (c *testClient) send(words string) {
-	_, err := c.Write([]byte(words))
+func (c *testClient) send(text string) {
+	_, err := c.Write([]byte(text))
 	require.NoError(c.harness, err)
 }
 
@@ -182,7 +193,7 @@
 	c.expectLine("M 1 odd = words")
 	c.expectLine("M 2")
 	line := servers[0].Lines()[0]
-	require.Regexp(t, `^OPEN [0-9a-f]{16} 7f3a x=1,c=chat,d=1?\d{2,3},g=5c$`, line, "the own wait is told, all else unchanged")
+	require.Regexp(t, `^OPEN [0-9a-f]{16} 7f3a x=1,c=chat,d=1?\d{2,3},g=5c$`, line, "only the wait is replaced by the proxy's own")
 	require.NoError(t, servers[0].Last().Close())
 	c.expectEnd(false)
 
@@ -195,43 +206,43 @@
 	c.expectLine("UP toy")
 	fleet.Reset(c.Conn)
 	_, err := servers[0].Last().Read(make([]byte, 1))
-	require.Error(t, err, "the server's side ends with the client's")
+	require.Error(t, err, "the server's connection ends with the client's")
 }
 
-func TestWhatARefusalProvesDecidesWhetherItIsSentAgain(t *testing.T) {
+func TestARequestIsRepeatedOnlyIfTheAnswerProvesItNeverRan(t *testing.T) {
 	for answer, want := range map[string]struct {
 		said  string
 		tries int
 	}{
-		"BUSY":      {"BUSY", 3}, // never ran
-		"ERR":       {"ERR", 1},  // may have run: once only
+		"BUSY":      {"BUSY", 3}, // has not run
+		"ERR":       {"ERR", 1},  // may have run, and must not run twice
 		"FIN":       {"ERR", 1},
 		"RESET":     {"ERR", 1},
 		"NONE":      {"ERR", 1},
 		"GIBBERISH": {"ERR", 1},
-		"UP":        {"ERR", 1}, // no receipt
+		"UP":        {"ERR", 1}, // without the receipt that UP has to carry
 		"MOVE":      {"ERR", 1},
 	} {
 		t.Run(answer, func(t *testing.T) {
 			s, servers := startProxy(t, 1024, answer)
-			began := time.Now()
+			start := time.Now()
 			c := s.openRequest("c=pay,d=700")
 			c.expectLine(want.said)
 			c.expectEnd(false)
-			require.Less(t, time.Since(began), 720*time.Millisecond, "before the client gives up")
+			require.Less(t, time.Since(start), 720*time.Millisecond, "before the client gives up")
 			require.Len(t, servers[0].Lines(), want.tries)
 		})
 	}
 }
 
-func TestNoServerThereIsNeverRan(t *testing.T) {
+func TestARequestToAnUnreachableServerIsPushedBack(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP a")
 	servers[0].Stop()
 	c := s.openRequest("c=pay,d=700")
 	c.expectLine("BUSY")
 }
 
-func TestAHungServerGivesWayToAnotherForWhatIsHarmless(t *testing.T) {
+func TestAHarmlessRequestMovesOnFromAHungServer(t *testing.T) {
 	s, _ := startProxy(t, 1024, "UP c")
 	hung, err := fleet.NewPuppet(func(string) string { return "NONE" })
 	require.NoError(t, err)
@@ -241,12 +252,12 @@
 	for range 4 {
 		s.openRequest("c=chat,d=1500").expectLine("UP c")
 	}
-	require.NotEmpty(t, hung.Lines(), "it was tried, as it held the fewest")
+	require.NotEmpty(t, hung.Lines(), "the hung server was tried, since it held the fewest connections")
 }
 
 func TestWrongLinesGetOnePlainLineAndTheEnd(t *testing.T) {
 	s, servers := startProxy(t, 1024, "NONE")
-	for words, want := range map[string]string{
+	for input, want := range map[string]string{
 		"HELLO\r\n":                                   "ERR the verb is unknown",
 		"OPEN 1 2 c=none,d=5\r\n":                     "ERR the class is unknown",
 		"OPEN 1 2 c=chat,d=x\r\n":                     `ERR d: "x" is no such number`,
@@ -265,8 +276,8 @@
 		strings.Repeat("PING\r\n", 33):                "ERR too many questions and no attachment",
 		"OPEN 1 2 c=chat,d=1500\r\nM 1 too early\r\n": "ERR bytes came before the connection was up",
 	} {
-		c := s.dial(words)
-		for range strings.Count(words, "PING\r\n") - 1 {
+		c := s.dial(input)
+		for range strings.Count(input, "PING\r\n") - 1 {
 			c.expectLine("PONG")
 		}
 		c.expectLine(want)
@@ -287,9 +298,9 @@
 	require.Len(t, servers[0].Lines(), 2)
 }
 
-func TestWhoSaysNothingIsAnsweredWithinThreeSecondsOfConnecting(t *testing.T) {
+func TestASilentClientIsAnsweredWithinThreeSecondsOfConnecting(t *testing.T) {
 	s, _ := startProxy(t, 1024, "UP a")
-	began := time.Now()
+	start := time.Now()
 	silent, asks, slow := s.dial(""), s.dial("PING\r\n"), s.dial("OPEN 1 ")
 	asks.expectLine("PONG")
 	for range 20 {
@@ -299,10 +310,10 @@
 	for _, c := range []*testClient{silent, asks, slow} {
 		c.expectLine("ERR nothing was asked")
 	}
-	require.Less(t, time.Since(began), 2900*time.Millisecond)
+	require.Less(t, time.Since(start), 2900*time.Millisecond)
 }
 
-func TestHundredsThatSayNothingDoNotCrowdOutWhoAsks(t *testing.T) {
+func TestHundredsOfSilentClientsDoNotCrowdOutRequests(t *testing.T) {
 	s, _ := startProxy(t, 64, "UP a")
 	for range 300 {
 		defer s.dial("").Close()
@@ -318,7 +329,7 @@
 	}
 }
 
-func TestTheLastWordReachesAClientThatStillSends(t *testing.T) {
+func TestTheFinalLineReachesAClientThatStillSends(t *testing.T) {
 	s, _ := startProxy(t, 1024, "UP a")
 	c := s.dial("HELLO\r\n")
 	for range 30 {
@@ -327,17 +338,17 @@
 	}
 	c.expectLine("ERR the verb is unknown")
 	c.expectEnd(false)
-	began := time.Now()
-	for time.Since(began) < 3*time.Second {
+	start := time.Now()
+	for time.Since(start) < 3*time.Second {
 		if _, err := c.Write([]byte("x")); err != nil {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatal("a client that never closes is closed in the end")
+	t.Fatal("the proxy did not close the connection of a client that never closes")
 }
 
-func TestAConnectionThatStoodGoesBackToItsServer(t *testing.T) {
+func TestAResumedConnectionGoesBackToItsServer(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP a", "UP b", "UP c")
 	for range 4 {
 		s.openRequest("c=chat,d=1500,at=s1").expectLine("UP b")
@@ -348,7 +359,7 @@
 
 func TestNearTheLimitOnSocketsClientsArePushedBack(t *testing.T) {
 	log := &logBuffer{}
-	s, _ := startProxyWith(t, 64, func(p *proxy.Proxy) { p.SetLogger(slog.New(slog.NewTextHandler(log, nil))) }, "UP a") // 32 of them are the program's own
+	s, _ := startProxyWith(t, 64, func(p *proxy.Proxy) { p.SetLogger(slog.New(slog.NewTextHandler(log, nil))) }, "UP a") // 32 descriptors are reserved for the program itself
 	up, busy := 0, 0
 	for range 40 {
 		c := s.openRequest("c=chat,d=1500")
@@ -365,14 +376,14 @@
 	require.Eventually(t, func() bool { return log.contains("all sockets are in use for requests") }, 3*time.Second, 10*time.Millisecond, "and the log says why")
 }
 
-func TestAServerThatFallsSilentLosesItsClientsInTime(t *testing.T) {
+func TestClientsAreMovedOffAServerThatFallsSilent(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP MUTE")
 	c, cut := s.openRequest("c=chat,d=1500"), s.openRequest("c=chat,d=1500")
 	c.expectLine("UP MUTE")
 	cut.expectLine("UP MUTE")
 	_, err := servers[0].Last().Write([]byte("half a "))
 	require.NoError(t, err)
-	began := time.Now()
+	start := time.Now()
 	c.send("M 1\r\n")
 	cut.send("M 1\r\n")
 	for _, c := range []*testClient{c, cut} {
@@ -381,17 +392,17 @@
 		require.NoError(t, err)
 		require.Contains(t, []string{"MOVE\r\n", "half a "}, string(rest), "no MOVE within a line")
 	}
-	// The last word may have come two seconds before the message.
-	require.Less(t, time.Since(began), 4*time.Second)
+	// The server's last line may have come two seconds before the message.
+	require.Less(t, time.Since(start), 4*time.Second)
 }
 
-func TestMovedClientsHearItBetweenTwoLinesWhenTheProxyLeaves(t *testing.T) {
+func TestALeavingProxySendsMoveOnlyBetweenLines(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP a")
 	c := s.openRequest("c=chat,d=1500")
 	c.expectLine("UP a")
 	_, err := servers[0].Last().Write([]byte("half a "))
 	require.NoError(t, err)
-	began := time.Now()
+	start := time.Now()
 	s.leaveSignals <- syscall.SIGTERM
 	time.Sleep(100 * time.Millisecond)
 	late := s.openRequest("c=chat,d=1500")
@@ -406,21 +417,21 @@
 	case err := <-s.runResult:
 		require.NoError(t, err)
 	case <-time.After(3 * time.Second):
-		t.Fatal("it never left")
+		t.Fatal("the proxy did not end")
 	}
-	require.Less(t, time.Since(began), 2200*time.Millisecond, "well before it would be killed")
+	require.Less(t, time.Since(start), 2200*time.Millisecond, "well before SIGKILL")
 }
 
-func TestWhatIsPendingIsAnsweredBeforeTheProxyMustGo(t *testing.T) {
+func TestPendingRequestsAreAnsweredBeforeTheProxyLeaves(t *testing.T) {
 	s, _ := startProxy(t, 1024, "NONE")
 	chat, pay := s.openRequest("c=chat,d=20000"), s.openRequest("c=pay,d=20000")
-	began := time.Now()
+	start := time.Now()
 	time.Sleep(50 * time.Millisecond)
 	s.leaveSignals <- syscall.SIGTERM
 	chat.expectLine("BUSY")
 	pay.expectLine("ERR")
 	require.NoError(t, <-s.runResult)
-	require.Less(t, time.Since(began), 2200*time.Millisecond)
+	require.Less(t, time.Since(start), 2200*time.Millisecond)
 }
 
 func TestWithoutTheListTheLastOneIsKeptAndAskedForAgain(t *testing.T) {
@@ -442,7 +453,7 @@
 	}
 }
 
-func TestAServerWithConnectionsIsProbedOnOneOfItsOwn(t *testing.T) {
+func TestProbesUseAConnectionOfTheirOwn(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP a")
 	for range 4 {
 		c := s.openRequest("c=chat,d=1500")
@@ -454,23 +465,23 @@
 	fleet.Reset(servers[0].Prober())
 	probes := servers[0].Probes()
 	require.Eventually(t, func() bool { return servers[0].Probes() > probes+1 }, 6*time.Second, 20*time.Millisecond)
-	require.Equal(t, 6, servers[0].Conns(), "one that breaks is opened again")
+	require.Equal(t, 6, servers[0].Conns(), "a broken probe connection is replaced")
 }
 
-// Guards against figures of late messages that are read as loads: nothing else tells of a slow server, since it answers
-// its clients' lines at once.
-func TestClientsMoveOffAServerThatTellsOfLateMessages(t *testing.T) {
+// Guards against reports of late messages that are taken for loads: nothing else shows that a server is slow, since it
+// answers its clients' lines at once.
+func TestClientsMoveOffAServerThatReportsLateMessages(t *testing.T) {
 	s, servers := startProxyWith(t, 1024, (*proxy.Proxy).ExpectDelays, "UP a", "UP b")
 	c := s.openRequest("c=chat,d=1500")
 	defer c.Close()
 	line, err := c.reader.ReadString('\n')
 	require.NoError(t, err)
-	at := servers[int(line[3]-'a')].Last()
+	serverConn := servers[int(line[3]-'a')].Last()
 	go func() {
-		_, _ = io.WriteString(at, "LOAD 90000\r\n")
+		_, _ = io.WriteString(serverConn, "LOAD 90000\r\n")
 		for range 12 {
-			time.Sleep(time.Second) // what the test is about comes once a second
-			if _, err := io.WriteString(at, "LOAD 400\r\n"); err != nil {
+			time.Sleep(time.Second) // servers report delays once a second
+			if _, err := io.WriteString(serverConn, "LOAD 400\r\n"); err != nil {
 				return
 			}
 		}
