--- a/lease/explore_test.go
+++ b/lease/explore_test.go
@@ -13,33 +13,35 @@
 	"hatchproxy/logic"
 )
 
-// leftOut is a safeguard that is not there.
-type leftOut struct{ leaderCheck, initialWait, termCheck, fencing, sendTime, driftBound bool }
+// omission names the safeguards that a run of the model leaves out, those set to true, to prove that their absence is detected.
+type omission struct{ leaderCheck, initialWait, termCheck, fencing, sendTime, driftBound bool }
 
-// modelState is two agents that may lead, two holders and one duty, in one state. Times are true ones; each clock has its own rate.
+// modelState is one state of a small model: two agents that may lead, two holders and one duty. Times are real time; each clock
+// runs at its own rate.
 type modelState struct {
 	now          logic.Micros
 	leader       int
 	term         int
-	committed    Grant // the log's
+	committed    Grant // as it is in the log
 	lastToken    uint64
 	agents       [2]agent
 	holders      [2]Holder
-	message      *message  // held up on its way
-	inFlight     [2]uint64 // by holder: the token of one that is held up between look and act; 0 for none
+	message      *message  // delayed in transit
+	inFlight     [2]uint64 // by holder: the token of an effect that is delayed between its check and its execution; 0 for none
 	highestToken uint64
 }
 
+// agent is an agent of the model that may lead.
 type agent struct {
 	leading      bool
 	term         int
 	grantor      *Grantor
 	applied      Grant
-	proposed     *Grant // a grant that is not agreed on yet
+	proposed     *Grant // a grant that is not committed yet
 	proposedTerm int
 }
 
-// message is a question with its answer, at a stage: sent, after the round, answered.
+// message is a request with its response. Its stage is 0 once sent, 1 after the leadership check, 2 once answered, 3 once applied.
 type message struct {
 	holder, agent, stage int
 	sent                 logic.Micros
@@ -48,6 +50,7 @@
 
 const duty = "d"
 
+// clone returns a deep copy of the grantors and holders.
 func (s modelState) clone() modelState {
 	for i := range s.agents {
 		if g := s.agents[i].grantor; g != nil {
@@ -61,6 +64,7 @@
 	return s
 }
 
+// encode returns a key that is the same for equal states.
 func (s modelState) encode() string {
 	b := make([]byte, 0, 256)
 	put := func(all ...int64) {
@@ -91,8 +95,8 @@
 				end, known := l.expiresAt[token+1]
 				put(flag(known), int64(end), flag(l.released[token+1]))
 			}
-			token, underWay := l.pending[duty]
-			put(flag(underWay), int64(token), int64(l.firstRequest))
+			token, inProgress := l.pending[duty]
+			put(flag(inProgress), int64(token), int64(l.firstRequest))
 			for _, h := range []string{"h0", "h1"} {
 				put(int64(l.candidates[h].lastRequest), flag(l.candidates[h].duties != nil), int64(l.lostAt[h]))
 			}
@@ -106,45 +110,49 @@
 	return string(b)
 }
 
-// The slow holder has the duty at first, and its clocks are as far off as is promised, or further.
-func (l leftOut) holderClock(s modelState, i int) logic.Micros {
+// holderClock returns the time by the clock of a holder. The holder with the slow clock has the duty at first. The clocks drift as
+// far as the lease durations allow for, and further where driftBound is left out.
+func (o omission) holderClock(s modelState, i int) logic.Micros {
 	rate := [2]float64{0.95, 1.05}[i]
-	if l.driftBound {
+	if o.driftBound {
 		rate = [2]float64{0.6, 1}[i]
 	}
 	return logic.Micros(float64(s.now) * rate)
 }
 
+// grantorClock returns the time by the clock of an agent that may lead.
 func grantorClock(s modelState, i int) logic.Micros {
 	return logic.Micros(float64(s.now) * [2]float64{0.95, 1.05}[i])
 }
 
-func (l leftOut) initial() modelState {
+// initial returns the first state: the first agent leads, and both holders have sent a request.
+func (o omission) initial() modelState {
 	s := modelState{now: 100 * logic.Second, lastToken: 1, committed: Grant{Holder: "h0", Token: 1}, term: 1}
 	s.agents[0] = agent{leading: true, term: 1, grantor: NewGrantor(), applied: s.committed}
 	for i := range s.holders {
-		s = l.renew(s, i, 0)
+		s = o.renew(s, i, 0)
 	}
 	return s
 }
 
-func (l leftOut) renew(s modelState, i, g int) modelState {
-	m := message{holder: i, agent: g, sent: l.holderClock(s, i)}
+// renew passes a request of a holder to an agent, and its response back, without delay.
+func (o omission) renew(s modelState, i, g int) modelState {
+	m := message{holder: i, agent: g, sent: o.holderClock(s, i)}
 	for m.stage < 3 {
-		var on bool
-		if s, m, on = l.advance(s, m); !on {
+		var inTransit bool
+		if s, m, inTransit = o.advance(s, m); !inTransit {
 			break
 		}
 	}
 	return s
 }
 
-// advance takes a message one stage on; false if it ends there.
-func (l leftOut) advance(s modelState, m message) (modelState, message, bool) {
+// advance takes a message to its next stage; it returns false if the message is dropped there.
+func (o omission) advance(s modelState, m message) (modelState, message, bool) {
 	g := &s.agents[m.agent]
 	switch m.stage {
 	case 0:
-		if !l.leaderCheck && (s.leader != m.agent || s.term != g.term) {
+		if !o.leaderCheck && (s.leader != m.agent || s.term != g.term) {
 			return s, m, false
 		}
 	case 1:
@@ -157,8 +165,8 @@
 		}
 		m.tokens = g.grantor.Renew(grantorClock(s, m.agent), Request{Holder: fmt.Sprint("h", m.holder), Duties: []string{duty}}, held, nil)
 	case 2:
-		if l.sendTime {
-			m.sent = l.holderClock(s, m.holder)
+		if o.sendTime {
+			m.sent = o.holderClock(s, m.holder)
 		}
 		s.holders[m.holder].Update(m.sent, m.tokens)
 	}
@@ -166,17 +174,19 @@
 	return s, m, true
 }
 
-func (l leftOut) elect(s modelState) modelState {
+// elect makes the other agent the leader, in a new term.
+func (o omission) elect(s modelState) modelState {
 	s.leader, s.term = 1-s.leader, s.term+1
 	g := &s.agents[s.leader]
 	*g = agent{leading: true, term: s.term, grantor: NewGrantor(), applied: s.committed, proposed: g.proposed, proposedTerm: g.proposedTerm}
-	if l.initialWait {
+	if o.initialWait {
 		g.grantor.expiresAt[s.committed.Token] = grantorClock(s, s.leader)
 	}
 	return s
 }
 
-func (l leftOut) propose(s modelState, n int) (modelState, bool) {
+// propose has an agent propose the grant that is due, if there is one.
+func (o omission) propose(s modelState, n int) (modelState, bool) {
 	g := &s.agents[n]
 	if !g.leading || g.grantor == nil || g.proposed != nil {
 		return s, false
@@ -188,11 +198,13 @@
 	return s, found
 }
 
-func (l leftOut) commit(s modelState, n int) modelState {
+// commit decides on the grant that an agent has proposed: it is committed if the agent still leads, in the term of the proposal, and the
+// token that it replaces is the current one.
+func (o omission) commit(s modelState, n int) modelState {
 	g := &s.agents[n]
 	x := *g.proposed
 	g.proposed = nil
-	if s.leader == n && (l.termCheck || s.term == g.proposedTerm) && x.Token == s.committed.Token {
+	if s.leader == n && (o.termCheck || s.term == g.proposedTerm) && x.Token == s.committed.Token {
 		s.lastToken++
 		s.committed = Grant{Holder: x.Holder, Token: s.lastToken}
 		g.applied = s.committed
@@ -203,16 +215,16 @@
 	return s
 }
 
-// successors are all states that can follow.
-func (l leftOut) successors(s modelState) (all []modelState) {
+// successors returns all states that can follow.
+func (o omission) successors(s modelState) (all []modelState) {
 	add := func(x modelState) { all = append(all, x) }
 	if s.now < 104*logic.Second {
 		x := s.clone()
-		x.now += 1200 * logic.Millisecond // two of these outlast a promise, for each clock
+		x.now += 1200 * logic.Millisecond // two of these steps outlast a lease on each clock
 		add(x)
 	}
 	if s.term < 4 {
-		add(l.elect(s.clone()))
+		add(o.elect(s.clone()))
 	}
 	for n := range 2 {
 		if g := s.agents[n]; g.leading && g.term < s.term {
@@ -220,21 +232,21 @@
 			x.agents[n].leading, x.agents[n].grantor = false, nil
 			add(x)
 		}
-		if x, found := l.propose(s.clone(), n); found {
+		if x, found := o.propose(s.clone(), n); found {
 			add(x)
-			add(l.commit(x.clone(), n))
+			add(o.commit(x.clone(), n))
 		}
 		if s.agents[n].proposed != nil {
-			add(l.commit(s.clone(), n))
+			add(o.commit(s.clone(), n))
 		}
 		for i := range 2 {
 			if !s.agents[n].leading {
 				continue
 			}
-			add(l.renew(s.clone(), i, n))
+			add(o.renew(s.clone(), i, n))
 			if s.message == nil {
 				x := s.clone()
-				x.message = &message{holder: i, agent: n, sent: l.holderClock(s, i)}
+				x.message = &message{holder: i, agent: n, sent: o.holderClock(s, i)}
 				add(x)
 			}
 		}
@@ -243,7 +255,7 @@
 		x := s.clone()
 		m := *s.message
 		x.message = nil
-		if y, m, on := l.advance(x, m); on && m.stage < 3 {
+		if y, m, inTransit := o.advance(x, m); inTransit && m.stage < 3 {
 			y.message = &m
 			add(y)
 		} else {
@@ -251,7 +263,7 @@
 		}
 	}
 	for i := range 2 {
-		if token, holds := s.holders[i].Holds(l.holderClock(s, i), duty); holds && s.inFlight[i] == 0 {
+		if token, holds := s.holders[i].Holds(o.holderClock(s, i), duty); holds && s.inFlight[i] == 0 {
 			x := s.clone()
 			x.inFlight[i] = token
 			add(x)
@@ -259,7 +271,7 @@
 		if token := s.inFlight[i]; token != 0 {
 			x := s.clone()
 			x.inFlight[i] = 0
-			if l.fencing || token == s.committed.Token {
+			if o.fencing || token == s.committed.Token {
 				if token < s.highestToken {
 					x.highestToken = tokenDecreased
 				} else {
@@ -272,100 +284,102 @@
 	return all
 }
 
+// tokenDecreased is the highestToken of a state in which an effect with a lower token followed one with a higher token.
 const tokenDecreased = 1 << 40
 
-// explore visits all states by depth, until one is broken or there are enough; it tells how many and how deep.
-func (l leftOut) explore(most int) (fault string, states, depth int) {
+// explore visits the reachable states breadth first, until one violates an invariant or it has seen maxStates. It returns the
+// violation, "" if there was none, and the number of states and the depth reached.
+func (o omission) explore(maxStates int) (violation string, states, depth int) {
 	seen := map[string]bool{}
-	level := []modelState{l.initial()}
+	level := []modelState{o.initial()}
 	for depth = 0; len(level) > 0; depth++ {
-		var following []modelState
+		var nextLevel []modelState
 		for _, s := range level {
-			_, one := s.holders[0].Holds(l.holderClock(s, 0), duty)
-			_, two := s.holders[1].Holds(l.holderClock(s, 1), duty)
+			_, first := s.holders[0].Holds(o.holderClock(s, 0), duty)
+			_, second := s.holders[1].Holds(o.holderClock(s, 1), duty)
 			switch {
-			case one && two:
-				return "two can act", len(seen), depth
+			case first && second:
+				return "two holders can act", len(seen), depth
 			case s.highestToken == tokenDecreased:
-				return "a lower token after a higher", len(seen), depth
+				return "an effect with a lower token followed one with a higher token", len(seen), depth
 			}
-			if len(seen) >= most {
+			if len(seen) >= maxStates {
 				return "", len(seen), depth
 			}
-			for _, x := range l.successors(s) {
+			for _, x := range o.successors(s) {
 				if k := x.encode(); !seen[k] {
 					seen[k] = true
-					following = append(following, x)
+					nextLevel = append(nextLevel, x)
 				}
 			}
 		}
-		level = following
+		level = nextLevel
 	}
 	return "", len(seen), depth
 }
 
-func TestNoOrderOfASmallWorldHasTwoHolders(t *testing.T) {
-	most := 30_000
+func TestNoReachableStateHasTwoHolders(t *testing.T) {
+	maxStates := 30_000
 	if os.Getenv("HATCHLAB_LONG") != "" {
-		most = 1_500_000
+		maxStates = 1_500_000
 	}
-	fault, states, depth := leftOut{}.explore(most)
-	require.Empty(t, fault)
-	t.Logf("%d states, all of depth %d and some of the next", states, depth-1)
+	violation, states, depth := omission{}.explore(maxStates)
+	require.Empty(t, violation)
+	t.Logf("%d states: all up to depth %d and some of the next", states, depth-1)
 }
 
-func TestEachSafeguardLeftOutIsConvictedInASmallWorld(t *testing.T) {
+func TestExplorationDetectsEachMissingSafeguard(t *testing.T) {
 	long := os.Getenv("HATCHLAB_LONG") != ""
 	for name, x := range map[string]struct {
-		leftOut
-		deep bool // it takes half a minute
-	}{"wait": {leftOut{initialWait: true}, false}, "drift": {leftOut{driftBound: true}, false}, "round": {leftOut{leaderCheck: true}, true}, "fence": {leftOut{fencing: true}, true},
-		"sent": {leftOut{sendTime: true}, true}, "term": {leftOut{termCheck: true}, true}} {
+		omission
+		deep bool // takes half a minute
+	}{"initial wait": {omission{initialWait: true}, false}, "drift bound": {omission{driftBound: true}, false}, "leader check": {omission{leaderCheck: true}, true}, "fencing": {omission{fencing: true}, true},
+		"send time": {omission{sendTime: true}, true}, "term check": {omission{termCheck: true}, true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			if x.deep && !long {
-				t.Skip("convicted in drawn worlds (lab/world), and here with HATCHLAB_LONG")
+				t.Skip("runs only with HATCHLAB_LONG; the random tests of lab/world detect this one, too")
 			}
-			fault, states, depth := x.explore(500_000)
-			require.NotEmpty(t, fault)
-			t.Logf("%s at depth %d, %d states", fault, depth, states)
+			violation, states, depth := x.explore(500_000)
+			require.NotEmpty(t, violation)
+			t.Logf("%s at depth %d, %d states", violation, depth, states)
 		})
 	}
 }
 
-func TestADutyIsHandedToWhoIsThereAndNotToWhoJustFellSilent(t *testing.T) {
+func TestDutyIsGrantedToALiveCandidateThatHasNotJustLostOne(t *testing.T) {
 	g, s := NewGrantor(), logic.Second
 	held := map[string]Grant{duty: {Holder: "a", Token: 7}}
-	ask := func(now logic.Micros, who string) Tokens {
-		return g.Renew(now, Request{Holder: who, Duties: []string{duty}}, held, map[string]bool{"barred": true})
+	renew := func(now logic.Micros, name string) Tokens {
+		return g.Renew(now, Request{Holder: name, Duties: []string{duty}}, held, map[string]bool{"barred": true})
 	}
-	require.Equal(t, Tokens{duty: 7}, ask(0, "a"))
-	ask(0, "b")
-	ask(0, "barred")
-	require.Empty(t, g.DueGrants(GrantorDuration-1, held, nil), "it may still be acted on")
-	ask(GrantorDuration, "b")
-	ask(GrantorDuration, "a")
-	ask(GrantorDuration, "barred")
+	require.Equal(t, Tokens{duty: 7}, renew(0, "a"))
+	renew(0, "b")
+	renew(0, "barred")
+	require.Empty(t, g.DueGrants(GrantorDuration-1, held, nil), "its holder may still act on it")
+	renew(GrantorDuration, "b")
+	renew(GrantorDuration, "a")
+	renew(GrantorDuration, "barred")
 	due := func(now logic.Micros) map[string]Grant {
 		return g.DueGrants(now, held, map[string]bool{"barred": true})
 	}
-	require.Empty(t, due(GrantorDuration), "it asked again in time")
-	ask(2*GrantorDuration, "b")
+	require.Empty(t, due(GrantorDuration), "its holder renewed in time")
+	renew(2*GrantorDuration, "b")
 	got := due(2 * GrantorDuration)
 	require.Equal(t, Grant{Holder: "b", Token: 7, Reason: "its holder fell silent"}, got[duty])
-	require.Empty(t, ask(2*GrantorDuration, "a"), "a grant to another is under way")
-	require.Empty(t, due(2*GrantorDuration+s), "one is under way")
+	require.Empty(t, renew(2*GrantorDuration, "a"), "a grant to another is in progress")
+	require.Empty(t, due(2*GrantorDuration+s), "a grant is in progress")
 	g.FinishGrant(duty)
 	held[duty] = Grant{Holder: "b", Token: 8, TransferTo: "*"}
-	require.Empty(t, ask(2*GrantorDuration, "b"), "it is to be handed on")
+	require.Empty(t, renew(2*GrantorDuration, "b"), "it is to be handed over")
 	g.Renew(2*GrantorDuration, Request{Holder: "b", Duties: []string{duty}, Released: map[string]uint64{duty: 8}}, held, nil)
-	ask(2*GrantorDuration, "c")
-	require.Equal(t, "c", due(2 * GrantorDuration)[duty].Holder, "at once, and not to a, which has just fallen silent")
+	renew(2*GrantorDuration, "c")
+	require.Equal(t, "c", due(2 * GrantorDuration)[duty].Holder, "at once, and not to a, which has just lost the duty")
 	var h Holder
 	h.Update(5*s, Tokens{duty: 8})
 	h.Update(4*s, Tokens{})
 	token, holds := h.Holds(5*s+HolderDuration-1, duty)
-	require.True(t, holds && token == 8, "an older answer is worth nothing")
+	require.True(t, holds && token == 8, "the response to an older request is ignored")
 	_, holds = h.Holds(5*s+HolderDuration, duty)
 	require.False(t, holds)
 	require.Equal(t, []string{duty}, h.Duties(5*s))
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,6 +1,7 @@
-// Package lease decides who holds a duty that only one may hold at a time. It is free of I/O and handed the time; docs/duties.md has
-// the promises. Who holds what stands in the agents' log, with a token that only rises: a grant is an entry there. How long a grant
-// may be acted on is not: it is promised, for some seconds at a time, from the memory of the agent that leads.
+// Package lease decides which agent holds a duty, of which there is at most one holder at a time. It does no I/O, and its callers
+// pass in the time; docs/duties.md lists the guarantees. Grants are entries in the agents' replicated log, each with a fencing token
+// that only increases. The time for which a holder may act on its grant is not in the log: the leading agent leases it for a few
+// seconds at a time and keeps these leases in memory only.
 package lease
 
 import (
@@ -12,61 +13,64 @@
 )
 
 const (
-	// HolderDuration is how long a holder may act, by its own clock, from before it sent the question that was answered yes.
+	// HolderDuration is how long a holder may act on a duty, by its own clock, counted from just before it sent the request that
+	// was granted.
 	HolderDuration = 2 * logic.Second
-	// GrantorDuration is how long the giver, by its own clock, keeps a duty for who was promised it, from after the question came. Clocks' rates
-	// may be off by 5% either way: a slow holder's Length lasts 1/0.95 of it, and a fast giver counts 1.05 of that, 1.106 in all.
+	// GrantorDuration is how long the grantor, by its own clock, keeps a duty reserved for its holder, counted from when the request
+	// arrived. Clock rates may be off by 5% either way: on a slow clock HolderDuration takes 1/0.95 of its nominal time, and a fast
+	// grantor's clock counts 1.05 times that, 1.106 in all.
 	GrantorDuration = HolderDuration * 112 / 100
-	// RenewInterval is how often a holder asks: four answers may be lost before it stops.
+	// RenewInterval is how often a holder renews its leases; four responses in a row may be lost before it stops acting.
 	RenewInterval = 400 * logic.Millisecond
-	// LostHolderCooldown is how long one that fell silent with a duty is given none where another may have it.
+	// LostHolderCooldown is how long a candidate that lost a duty because it stopped renewing is passed over in favor of others.
 	LostHolderCooldown = 10 * logic.Second
-	// candidateTimeout is how long ago one must have asked to be given a duty: three questions may be lost.
+	// candidateTimeout is the maximum age of a candidate's last request; three requests in a row may be lost.
 	candidateTimeout = 4 * RenewInterval
 )
 
-// Grant is who holds a duty, as the log has it.
+// Grant records who holds a duty, as it is in the log.
 type Grant struct {
-	Holder     string `json:"holder"` // "" if nobody has held it yet
+	Holder     string `json:"holder"` // "" if the duty has never been held
 	Token      uint64 `json:"token"`
-	TransferTo string `json:"to,omitempty"` // it is to be handed on: to whom, or "*" for any other
-	// GrantedAt is when it was given, by the clock of who gave it; Why it was not left where it was.
+	TransferTo string `json:"to,omitempty"` // the duty is to be handed over: to this candidate, or to any other one if "*"
+	// GrantedAt is the time of the grant by the grantor's clock; Reason tells why the duty changed hands.
 	GrantedAt logic.Micros `json:"since"`
 	Reason    string       `json:"why"`
 }
 
-// Request is what one that stands for duties asks of the agent that leads.
+// Request is what a candidate for duties sends to the leading agent, to be granted duties and to renew the leases it has.
 type Request struct {
 	Holder   string            `json:"holder"`
-	Duties   []string          `json:"wants,omitempty"` // the duties that it stands for
-	Released map[string]uint64 `json:"gives,omitempty"` // what it acts on no more, with the tokens
+	Duties   []string          `json:"wants,omitempty"` // the duties that it is a candidate for
+	Released map[string]uint64 `json:"gives,omitempty"` // the duties that it no longer acts on, with their tokens
 }
 
-// Tokens are the answer: what may be acted on, with the tokens. What is not named may not.
+// Tokens is the response to a Request: the duties that the holder may act on, with their tokens. It may act on no other duty.
 type Tokens map[string]uint64
 
-// Grantor gives duties out while one agent leads. A new one knows nothing of what was promised before it.
+// Grantor grants duties for as long as one agent leads. A new Grantor knows nothing of the leases of earlier leaders.
 type Grantor struct {
-	expiresAt    map[uint64]logic.Micros // by token: until when it may be acted on
-	released     map[uint64]bool         // by token: it was given back
-	pending      map[string]uint64       // by duty: the token that a grant under way replaces
+	expiresAt    map[uint64]logic.Micros // by token: when its lease ends
+	released     map[uint64]bool         // by token: its holder released it
+	pending      map[string]uint64       // by duty: the token that a grant in progress replaces
 	candidates   map[string]candidate    // by holder
-	lostAt       map[string]logic.Micros // by holder: when it last lost a duty by silence
-	firstRequest logic.Micros            // when somebody asked first
+	lostAt       map[string]logic.Micros // by holder: when it last lost a duty because its lease ran out
+	firstRequest logic.Micros            // when the first request arrived
 }
 
+// candidate is what is known of an agent that has sent a request.
 type candidate struct {
 	lastRequest logic.Micros
 	duties      []string
 }
 
-// NewGrantor makes one for an agent that has just been chosen.
+// NewGrantor returns a Grantor for an agent that has just become leader.
 func NewGrantor() *Grantor {
 	return &Grantor{expiresAt: map[uint64]logic.Micros{}, released: map[uint64]bool{}, pending: map[string]uint64{}, candidates: map[string]candidate{}, lostAt: map[string]logic.Micros{}}
 }
 
-// expiry is until when a token may be acted on. What this giver has not promised itself counts as promised at first sight: guards
-// against a duty given on while one acts by the word of who led before.
+// expiry returns when the lease of a token ends. A token that this grantor has not leased itself counts as leased from the time it
+// is first seen: otherwise a duty could be granted to another while its holder still acts on a lease of the previous leader.
 func (g *Grantor) expiry(now logic.Micros, token uint64) logic.Micros {
 	if _, known := g.expiresAt[token]; !known {
 		g.expiresAt[token] = now + GrantorDuration
@@ -74,114 +78,118 @@
 	return g.expiresAt[token]
 }
 
-// Renew answers a question. It must be asked only once it is known that this agent led after the question had come: otherwise one that
-// was replaced while it stood still would promise what another has given on.
-func (g *Grantor) Renew(now logic.Micros, q Request, held map[string]Grant, barred map[string]bool) Tokens {
-	promised := Tokens{}
+// Renew handles a request: it takes back the released duties and renews the leases that the sender still holds. The caller must
+// have verified, after the request arrived, that this agent is still the leader: otherwise an agent that was replaced while it was
+// suspended would renew a lease that its successor has granted to another.
+func (g *Grantor) Renew(now logic.Micros, req Request, held map[string]Grant, barred map[string]bool) Tokens {
+	tokens := Tokens{}
 	if len(g.candidates) == 0 {
 		g.firstRequest = now
 	}
-	g.candidates[q.Holder] = candidate{now, q.Duties}
-	for duty, h := range held {
-		if h.Holder != q.Holder {
+	g.candidates[req.Holder] = candidate{now, req.Duties}
+	for duty, grant := range held {
+		if grant.Holder != req.Holder {
 			continue
 		}
-		if q.Released[duty] == h.Token {
-			g.released[h.Token] = true
+		if req.Released[duty] == grant.Token {
+			g.released[grant.Token] = true
 		}
-		if h.TransferTo != "" || barred[q.Holder] || g.released[h.Token] || g.pending[duty] == h.Token || !slices.Contains(q.Duties, duty) {
+		if grant.TransferTo != "" || barred[req.Holder] || g.released[grant.Token] || g.pending[duty] == grant.Token || !slices.Contains(req.Duties, duty) {
 			continue
 		}
-		g.expiresAt[h.Token] = now + GrantorDuration
-		promised[duty] = h.Token
+		g.expiresAt[grant.Token] = now + GrantorDuration
+		tokens[duty] = grant.Token
 	}
-	return promised
+	return tokens
 }
 
-// DueGrants are the grants that are to be agreed on now, with the tokens that they replace. Each counts as under way until Over.
+// DueGrants returns, by duty, the grants that are to be committed to the log now, with the tokens that they replace. Each of them is
+// in progress until FinishGrant is called for its duty.
 func (g *Grantor) DueGrants(now logic.Micros, held map[string]Grant, barred map[string]bool) map[string]Grant {
 	due := map[string]Grant{}
 	if len(g.candidates) == 0 || now-g.firstRequest < RenewInterval {
-		return due // guards against all duties going to who asks first
+		return due // otherwise all duties would go to the first candidate that sends a request
 	}
-	count := map[string]int{}
-	for _, h := range held {
-		count[h.Holder]++
+	dutyCount := map[string]int{}
+	for _, grant := range held {
+		dutyCount[grant.Holder]++
 	}
 	for _, duty := range g.wantedDuties(now) {
-		h := held[duty]
-		if _, underWay := g.pending[duty]; underWay || h.Token != 0 && !g.released[h.Token] && now < g.expiry(now, h.Token) {
+		grant := held[duty]
+		if _, inProgress := g.pending[duty]; inProgress || grant.Token != 0 && !g.released[grant.Token] && now < g.expiry(now, grant.Token) {
 			continue
 		}
-		if h.Token != 0 && !g.released[h.Token] {
-			g.lostAt[h.Holder] = now
+		if grant.Token != 0 && !g.released[grant.Token] {
+			g.lostAt[grant.Holder] = now
 		}
 		best := ""
 		for _, name := range sortedNames(g.candidates) {
-			a := g.candidates[name]
-			if now-a.lastRequest > candidateTimeout || barred[name] || !slices.Contains(a.duties, duty) || h.TransferTo != "" && name == h.Holder && h.TransferTo != name {
+			c := g.candidates[name]
+			if now-c.lastRequest > candidateTimeout || barred[name] || !slices.Contains(c.duties, duty) || grant.TransferTo != "" && name == grant.Holder && grant.TransferTo != name {
 				continue
 			}
-			if best == "" || g.prefers(now, duty, h.TransferTo, name, best, count) {
+			if best == "" || g.prefers(now, duty, grant.TransferTo, name, best, dutyCount) {
 				best = name
 			}
 		}
 		if best != "" {
-			why := "its holder fell silent"
+			reason := "its holder fell silent"
 			switch {
-			case h.Token == 0:
-				why = "nobody held it"
-			case h.TransferTo != "" && g.released[h.Token]:
-				why = "it was handed on by command"
-			case g.released[h.Token]:
-				why = "its holder gave it back"
+			case grant.Token == 0:
+				reason = "nobody held it"
+			case grant.TransferTo != "" && g.released[grant.Token]:
+				reason = "it was handed on by command"
+			case g.released[grant.Token]:
+				reason = "its holder gave it back"
 			}
-			g.pending[duty] = h.Token
-			due[duty] = Grant{Holder: best, Token: h.Token, Reason: why}
-			count[best]++
+			g.pending[duty] = grant.Token
+			due[duty] = Grant{Holder: best, Token: grant.Token, Reason: reason}
+			dutyCount[best]++
 		}
 	}
 	return due
 }
 
-// prefers tells whether one is given a duty rather than another: who it is to be handed to, who has not just lost one by silence, who
-// has fewer; the rest by a hash, so that one does not get all.
-func (g *Grantor) prefers(now logic.Micros, duty, to, a, b string, count map[string]int) bool {
-	order := func(name string) (o [4]int) {
-		if name != to {
+// prefers reports whether candidate a is granted a duty rather than b. The one that it is to be handed over to comes first, then
+// those that have not lost a duty within LostHolderCooldown, then those with fewer duties. A hash of name and duty breaks ties, so
+// that the duties are spread.
+func (g *Grantor) prefers(now logic.Micros, duty, transferTo, a, b string, dutyCount map[string]int) bool {
+	rank := func(name string) (o [4]int) {
+		if name != transferTo {
 			o[0] = 1
 		}
 		if at, known := g.lostAt[name]; known && now-at < LostHolderCooldown {
 			o[1] = 1
 		}
-		h := fnv.New32a()
-		_, _ = h.Write([]byte(name + "/" + duty))
-		o[2], o[3] = count[name], int(h.Sum32())
+		hash := fnv.New32a()
+		_, _ = hash.Write([]byte(name + "/" + duty))
+		o[2], o[3] = dutyCount[name], int(hash.Sum32())
 		return o
 	}
-	x, y := order(a), order(b)
+	x, y := rank(a), rank(b)
 	return slices.Compare(x[:], y[:]) < 0
 }
 
-// FinishGrant tells that a grant is under way no more: it was agreed on, or it is sure that it will not be.
+// FinishGrant ends the grant in progress of a duty: it was committed, or it is certain that it won't be.
 func (g *Grantor) FinishGrant(duty string) { delete(g.pending, duty) }
 
-// Remaining is how long a token may still be acted on at most, for those who watch.
+// Remaining returns the longest time for which a token may still be acted on. It is for status displays.
 func (g *Grantor) Remaining(now logic.Micros, token uint64) logic.Micros {
 	return max(0, g.expiresAt[token]-now)
 }
 
-// wantedDuties are the duties that somebody there wants, by name.
+// wantedDuties returns the sorted duties that have at least one live candidate.
 func (g *Grantor) wantedDuties(now logic.Micros) (duties []string) {
-	for _, a := range g.candidates {
-		if now-a.lastRequest <= candidateTimeout {
-			duties = append(duties, a.duties...)
+	for _, c := range g.candidates {
+		if now-c.lastRequest <= candidateTimeout {
+			duties = append(duties, c.duties...)
 		}
 	}
 	slices.Sort(duties)
 	return slices.Compact(duties)
 }
 
+// sortedNames returns the names of the candidates in order.
 func sortedNames(m map[string]candidate) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
@@ -191,34 +199,34 @@
 	return names
 }
 
-// Holder is what one that stands for duties has been promised. The zero value holds nothing.
+// Holder keeps the leases of one candidate. The zero value holds nothing.
 type Holder struct {
 	tokens    map[string]uint64
 	expiresAt map[string]logic.Micros
-	lastSent  logic.Micros // when the question was sent whose answer was heard last
+	lastSent  logic.Micros // when the request was sent whose response was applied last
 }
 
-// Update takes the answer to a question that was sent at a time of the holder's own clock. An answer to an older question than the
-// last one that was answered is worth nothing.
-func (h *Holder) Update(sent logic.Micros, p Tokens) {
+// Update applies the response to a request; sent is the time of the request by the holder's own clock. A response to an older request
+// than that of the last response is ignored.
+func (h *Holder) Update(sent logic.Micros, tokens Tokens) {
 	if sent < h.lastSent {
 		return
 	}
 	h.lastSent, h.tokens, h.expiresAt = sent, map[string]uint64{}, map[string]logic.Micros{}
-	for duty, token := range p {
+	for duty, token := range tokens {
 		h.tokens[duty], h.expiresAt[duty] = token, sent+HolderDuration
 	}
 }
 
-// Release ends a duty at once, as one that is to be handed on; it returns its token, 0 if it was not held.
+// Release stops holding a duty at once and returns its token, or 0 if it was not held.
 func (h *Holder) Release(now logic.Micros, duty string) uint64 {
 	token, _ := h.Holds(now, duty)
 	delete(h.tokens, duty)
 	return token
 }
 
-// Holds tells by which token a duty may be acted on now. It is to be asked again after each wait, and the token goes with each
-// effect: nobody knows how long the next line takes.
+// Holds reports whether a duty may be acted on now, and with which token. Callers must ask again after anything that may have taken
+// time, and pass the token along with each effect: any two statements may be far apart in time.
 func (h *Holder) Holds(now logic.Micros, duty string) (token uint64, holds bool) {
 	if token = h.tokens[duty]; token == 0 || now >= h.expiresAt[duty] {
 		return 0, false
@@ -226,7 +234,7 @@
 	return token, true
 }
 
-// Duties are the duties that are held now, by name.
+// Duties returns the sorted duties that are held now.
 func (h *Holder) Duties(now logic.Micros) (duties []string) {
 	for duty := range h.tokens {
 		if _, holds := h.Holds(now, duty); holds {
