--- a/limits/gate.go
+++ b/limits/gate.go
@@ -6,14 +6,15 @@
 	"hatchproxy/logic"
 )
 
-// Limiter is what a listener lets in: set-ups in a second, connections that stand, shares of tenants, each address's own
-// rate, and retries as a share of first tries. A part that is not set lets everybody in.
+// Limiter decides which connections a listener admits. It limits the rate of connection setups, in all and by client
+// address, the number of established connections, shared fairly between tenants, and retries as a share of first tries.
+// A limit that is not set admits everything.
 type Limiter struct {
-	SetupRate      Rate // 0 a second: no limit
-	MaxConnections int  // 0: no limit; shared between tenants, max-min
-	AddressRate    Rate
-	RetryShare     float64 // 0: no limit
-	MaxWait        logic.Micros
+	SetupRate      Rate         // 0 per second: no limit
+	MaxConnections int          // 0: no limit; shared max-min fairly between tenants
+	AddressRate    Rate         // of one address; 0 per second: no limit
+	RetryShare     float64      // 0: no limit
+	MaxWait        logic.Micros // the longest time after which a client is told to come back
 
 	setups        Bucket
 	retries       RetryBudget
@@ -23,7 +24,7 @@
 	refused       map[Reason]uint64
 }
 
-// Reason is what somebody was turned away for.
+// Reason tells which limit a connection was refused for.
 type Reason string
 
 const (
@@ -32,111 +33,115 @@
 	TenantShareExceeded Reason = "tenant"
 	AddressRateExceeded Reason = "address"
 	RetryBudgetExceeded Reason = "retries"
-	maxAddresses               = 65_536 // as many addresses are remembered; one that is forgotten has a full bucket again
-	maxIdleTenants             = 65_536
-	// minRetriesPerSecond lets a pool that is hardly used retry all the same.
+	maxAddresses               = 65_536 // addresses that are remembered; one that was forgotten starts with a full bucket
+	maxIdleTenants             = 65_536 // tenants without connections that are remembered
+	// minRetriesPerSecond allows some retries to a pool with hardly any first tries.
 	minRetriesPerSecond = 1.0
-	// defaultRetryAfter is how soon one is told to come that waits for others to leave: the time is not known.
+	// defaultRetryAfter is the wait where it isn't known when there will be room, as others must leave first.
 	defaultRetryAfter = logic.Second
 )
 
-// Init makes the gate ready.
-func (g *Limiter) Init(seed int64) *Limiter {
-	g.retries = RetryBudget{Share: g.RetryShare, MinPerSecond: minRetriesPerSecond}
-	g.retrySpreader, g.addresses, g.refused = NewRetrySpreader(seed), newBucketCache(maxAddresses), map[Reason]uint64{}
-	if g.MaxConnections > 0 {
-		g.tenants = NewFairShare(g.MaxConnections, maxIdleTenants)
+// Init prepares the limiter for use and returns it.
+func (l *Limiter) Init(seed int64) *Limiter {
+	l.retries = RetryBudget{Share: l.RetryShare, MinPerSecond: minRetriesPerSecond}
+	l.retrySpreader, l.addresses, l.refused = NewRetrySpreader(seed), newBucketCache(maxAddresses), map[Reason]uint64{}
+	if l.MaxConnections > 0 {
+		l.tenants = NewFairShare(l.MaxConnections, maxIdleTenants)
 	}
-	return g
+	return l
 }
 
-// Admit lets one in, or tells why not and when to come again. What is refused has taken nothing from the other limits.
-// One that was let in is given back with Leave.
-func (g *Limiter) Admit(now logic.Micros, tenant, address uint64, retry bool) (Reason, logic.Micros) {
+// Admit returns Admitted, or the limit that refuses the connection and how long the client is to wait before it tries
+// again. A refused connection uses no permit of a rate and no tenant's place; the retry budget may have counted it. An
+// admitted one must be given back with Release.
+func (l *Limiter) Admit(now logic.Micros, tenant, address uint64, retry bool) (Reason, logic.Micros) {
 	var bucket *Bucket
-	if g.AddressRate.PerSecond > 0 {
-		bucket = g.addresses.get(address)
-		if ok, wait := bucket.Take(now, g.AddressRate); !ok {
-			return g.refuse(AddressRateExceeded), min(wait, g.MaxWait) // its own wait: others need not be spread
+	if l.AddressRate.PerSecond > 0 {
+		bucket = l.addresses.get(address)
+		if ok, wait := bucket.Take(now, l.AddressRate); !ok {
+			return l.refuse(AddressRateExceeded), min(wait, l.MaxWait) // its own bucket tells when; no need to spread its retry among others
 		}
 	}
-	back := func() {
+	returnPermit := func() {
 		if bucket != nil {
-			bucket.Return(g.AddressRate)
+			bucket.Return(l.AddressRate)
 		}
 	}
-	if g.RetryShare > 0 {
+	if l.RetryShare > 0 {
 		if !retry {
-			g.retries.CountFirstTry(now)
-		} else if !g.retries.TakeRetry(now) {
-			back()
-			return g.refuse(RetryBudgetExceeded), g.retrySpreader.RetryAfter(now, defaultRetryAfter, g.MaxWait, g.retriesPerSecond())
+			l.retries.CountFirstTry(now)
+		} else if !l.retries.TakeRetry(now) {
+			returnPermit()
+			return l.refuse(RetryBudgetExceeded), l.retrySpreader.RetryAfter(now, defaultRetryAfter, l.MaxWait, l.retriesPerSecond())
 		}
 	}
-	if g.SetupRate.PerSecond > 0 {
-		if ok, wait := g.setups.Take(now, g.SetupRate); !ok {
-			back()
-			return g.refuse(SetupRateExceeded), g.retrySpreader.RetryAfter(now, wait, g.MaxWait, g.retriesPerSecond())
+	if l.SetupRate.PerSecond > 0 {
+		if ok, wait := l.setups.Take(now, l.SetupRate); !ok {
+			returnPermit()
+			return l.refuse(SetupRateExceeded), l.retrySpreader.RetryAfter(now, wait, l.MaxWait, l.retriesPerSecond())
 		}
 	}
-	if g.tenants != nil && !g.tenants.Take(tenant, 1) {
-		g.setups.Return(g.SetupRate)
-		back()
-		return g.refuse(TenantShareExceeded), g.retrySpreader.RetryAfter(now, defaultRetryAfter, g.MaxWait, g.retriesPerSecond())
+	if l.tenants != nil && !l.tenants.Take(tenant, 1) {
+		l.setups.Return(l.SetupRate)
+		returnPermit()
+		return l.refuse(TenantShareExceeded), l.retrySpreader.RetryAfter(now, defaultRetryAfter, l.MaxWait, l.retriesPerSecond())
 	}
 	return Admitted, 0
 }
 
-// Release gives back what one held that was let in.
-func (g *Limiter) Release(tenant uint64) {
-	if g.tenants != nil {
-		g.tenants.Release(tenant)
+// Release gives back the place of an admitted connection that has ended.
+func (l *Limiter) Release(tenant uint64) {
+	if l.tenants != nil {
+		l.tenants.Release(tenant)
 	}
 }
 
-func (g *Limiter) refuse(w Reason) Reason {
-	g.refused[w]++
-	return w
+// refuse counts a refusal.
+func (l *Limiter) refuse(reason Reason) Reason {
+	l.refused[reason]++
+	return reason
 }
 
-// Refused tells how many were turned away, and why, since the start.
-func (g *Limiter) Refused() map[Reason]uint64 { return g.refused }
+// Refused returns the number of refusals since the start, by reason.
+func (l *Limiter) Refused() map[Reason]uint64 { return l.refused }
 
-// retriesPerSecond is how many of those told may come in a second.
-func (g *Limiter) retriesPerSecond() float64 {
-	if g.SetupRate.PerSecond > 0 {
-		return g.SetupRate.PerSecond / 2 // the other half is for those that come for the first time
+// retriesPerSecond returns how many of the refused clients are told to come back per second.
+func (l *Limiter) retriesPerSecond() float64 {
+	if l.SetupRate.PerSecond > 0 {
+		return l.SetupRate.PerSecond / 2 // the other half is left to first tries
 	}
 	return 100
 }
 
-// bucketCache are those of many names; the ones used longest ago are forgotten.
+// bucketCache keeps buckets by key and evicts the least recently used one when it is full.
 type bucketCache struct {
 	capacity int
 	byKey    map[uint64]*list.Element
 	recency  *list.List
 }
 
+// cachedBucket is a bucket of a bucketCache with its key.
 type cachedBucket struct {
 	key uint64
 	Bucket
 }
 
-func newBucketCache(most int) *bucketCache {
-	return &bucketCache{most, map[uint64]*list.Element{}, list.New()}
+func newBucketCache(capacity int) *bucketCache {
+	return &bucketCache{capacity, map[uint64]*list.Element{}, list.New()}
 }
 
-func (b *bucketCache) get(name uint64) *Bucket {
-	if e := b.byKey[name]; e != nil {
-		b.recency.MoveToFront(e)
-		return &e.Value.(*cachedBucket).Bucket
+// get returns the bucket of a key, a new one if there is none.
+func (b *bucketCache) get(key uint64) *Bucket {
+	if element := b.byKey[key]; element != nil {
+		b.recency.MoveToFront(element)
+		return &element.Value.(*cachedBucket).Bucket
 	}
 	if len(b.byKey) >= b.capacity {
-		last := b.recency.Back()
-		delete(b.byKey, last.Value.(*cachedBucket).key)
-		b.recency.Remove(last)
+		oldest := b.recency.Back()
+		delete(b.byKey, oldest.Value.(*cachedBucket).key)
+		b.recency.Remove(oldest)
 	}
-	n := &cachedBucket{key: name}
-	b.byKey[name] = b.recency.PushFront(n)
-	return &n.Bucket
+	cached := &cachedBucket{key: key}
+	b.byKey[key] = b.recency.PushFront(cached)
+	return &cached.Bucket
 }
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -1,6 +1,7 @@
-// Package limits says who may be set up now and who is to come again, and when. It is free of I/O and handed time and
-// chance. Limits hold for set-ups in a second and for connections that stand, by whatever scope the caller names: a
-// listener, a pool, a product, a tenant, an address.
+// Package limits provides admission control for connections: which may be set up now, and when a refused client is to
+// retry. It limits the rate of connection setups, retries and the number of established connections, for whatever scope
+// the caller chooses: a listener, a pool, a product, a tenant, an address. It does no I/O; its callers pass in the time
+// and the random seed.
 package limits
 
 import (
@@ -11,18 +12,19 @@
 	"hatchproxy/logic"
 )
 
-// Rate is a limit on set-ups in a second, with so many at once.
+// Rate limits connection setups to PerSecond, with up to Burst at once.
 type Rate struct{ PerSecond, Burst float64 }
 
-// Bucket holds the permits of a rate. The zero value is full at its first use. golang.org/x/time/rate would do, but for
-// its clock and its mutex: here time is handed in, one owner takes, and a million buckets are 24 bytes each.
+// Bucket is a token bucket that holds the permits of a Rate. The zero value is full at its first use. It replaces
+// golang.org/x/time/rate, which has its own clock and a mutex: here callers pass in the time, a bucket has one owner,
+// and it takes 24 bytes, as there may be a million of them.
 type Bucket struct {
 	permits     float64
 	updatedAt   logic.Micros
 	initialized bool
 }
 
-// Take takes a permit if there is one; otherwise it tells when there will be.
+// Take takes a permit if there is one; otherwise it returns the wait until there will be one.
 func (b *Bucket) Take(now logic.Micros, r Rate) (ok bool, wait logic.Micros) {
 	b.refill(now, r)
 	if b.permits >= 1 {
@@ -35,67 +37,69 @@
 	return false, logic.Micros(math.Ceil((1 - b.permits) / r.PerSecond * 1e6))
 }
 
-// forever is a wait that has no end: a rate of nothing.
+// forever is the wait for a permit of a rate of 0.
 const forever = logic.Micros(math.MaxInt64 / 4)
 
-// refill adds what the time since brought. A clock that jumps back brings nothing and takes nothing; one that jumps
+// refill adds the permits of the time since the last call. A clock that jumps back adds and removes none; one that jumps
 // ahead fills the bucket at most.
 func (b *Bucket) refill(now logic.Micros, r Rate) {
 	burst := max(1, r.Burst)
 	if !b.initialized {
 		b.permits, b.initialized = burst, true
-	} else if passed := now - b.updatedAt; passed > 0 {
-		b.permits = min(burst, b.permits+float64(passed)/1e6*r.PerSecond)
+	} else if elapsed := now - b.updatedAt; elapsed > 0 {
+		b.permits = min(burst, b.permits+float64(elapsed)/1e6*r.PerSecond)
 	}
 	b.permits = min(b.permits, burst)
 	b.updatedAt = now
 }
 
-// Return gives a permit back that was not used.
+// Return gives back a permit that was not used.
 func (b *Bucket) Return(r Rate) { b.permits = min(max(1, r.Burst), b.permits+1) }
 
-// RetrySpreader turns the wait until there is room into one for a client: each that is told within a while gets a later slot
-// than the one before, so that those told do not come back together. Room is how many come in a second.
+// RetrySpreader spreads the retries of refused clients over time: each client gets a later slot than the one before, so
+// that they do not all come back at once.
 type RetrySpreader struct {
-	nextSlot logic.Micros
+	nextSlot logic.Micros // when the next refused client is to retry
 	rng      *rand.Rand
 }
 
-// NewRetrySpreader makes one from a seed.
+// NewRetrySpreader returns a RetrySpreader whose random numbers depend on the seed only.
 func NewRetrySpreader(seed int64) *RetrySpreader {
 	return &RetrySpreader{rng: rand.New(rand.NewSource(seed))}
 }
 
-// RetryAfter says when the next one that is turned away is to come, at least wait from now and at most longest.
-func (s *RetrySpreader) RetryAfter(now, wait, longest logic.Micros, room float64) logic.Micros {
-	gap := logic.Micros(1e6 / max(room, 0.1))
+// RetryAfter returns how long the next refused client is to wait: at least wait, unless longest is too short for
+// that, and at most longest, with slots for perSecond clients a second.
+func (s *RetrySpreader) RetryAfter(now, wait, longest logic.Micros, perSecond float64) logic.Micros {
+	gap := logic.Micros(1e6 / max(perSecond, 0.1))
 	s.nextSlot = max(s.nextSlot, now+wait)
-	told := s.nextSlot - now
+	toSlot := s.nextSlot - now
 	s.nextSlot += gap
-	if told > longest {
-		// Beyond what may be told, chance spreads them over the last half of it.
+	if toSlot > longest {
+		// The slots are beyond the longest wait: random waits spread the retries over its second half.
 		return longest/2 + logic.Micros(s.rng.Int63n(int64(longest/2)+1))
 	}
-	return max(min(told+logic.Micros(s.rng.Int63n(int64(gap)+1)), longest), logic.Millisecond)
+	return max(min(toSlot+logic.Micros(s.rng.Int63n(int64(gap)+1)), longest), logic.Millisecond)
 }
 
-// RetryBudget bounds retries to a share of first tries, over the last ten seconds or so.
+// RetryBudget limits retries to a share of first tries. Both are counted over about the last ten seconds.
 type RetryBudget struct {
-	Share        float64 // of first tries
-	MinPerSecond float64 // retries a second that are always allowed: a pool that is hardly used
+	Share        float64 // retries per first try
+	MinPerSecond float64 // retries per second that are always allowed, for a pool with hardly any first tries
 
 	firstTries, retries float64
 	updatedAt           logic.Micros
 	initialized         bool
 }
 
-// halfLife is the time in which what was counted loses half of its weight.
+// halfLife is the half-life of counted tries and retries.
 const halfLife = 5 * logic.Second
 
+// decay lowers the counts by the time since the last call.
 func (b *RetryBudget) decay(now logic.Micros) {
 	if b.initialized && now > b.updatedAt {
-		keep := math.Exp2(-float64(now-b.updatedAt) / float64(halfLife))
-		b.firstTries, b.retries = b.firstTries*keep, b.retries*keep
+		factor := math.Exp2(-float64(now-b.updatedAt) / float64(halfLife))
+		b.firstTries, b.retries = b.firstTries*factor, b.retries*factor
 	}
 	if !b.initialized || now > b.updatedAt {
 		b.updatedAt, b.initialized = now, true
@@ -108,10 +112,10 @@
 	b.firstTries++
 }
 
-// TakeRetry takes a retry from the budget, if there is one in it.
+// TakeRetry counts a retry and returns true if the budget allows it.
 func (b *RetryBudget) TakeRetry(now logic.Micros) bool {
 	b.decay(now)
-	// What decays with this half-life sums up to so many seconds of a steady rate.
+	// A steady rate counted with this half-life adds up to the tries of this many seconds.
 	const window = float64(halfLife) / 1e6 / math.Ln2
 	if b.retries+1 > b.Share*b.firstTries+b.MinPerSecond*window {
 		return false
@@ -120,30 +124,32 @@
 	return true
 }
 
-// FairShare shares a capacity between tenants by weight, max-min: one that asks for less than its share gets all it asks
-// for, whatever others ask for, and what it leaves goes to those that ask for more. Memory is bounded: of tenants that
-// hold nothing only the last ones seen are remembered, and those that hold something are no more than the capacity.
+// FairShare divides a number of connections between tenants by weight, with max-min fairness: a tenant that asks for less
+// than its share gets all it asks for, whatever others ask for, and what it leaves goes to those that ask for more. Memory
+// is bounded: of the tenants without connections only the most recent ones are remembered, and there are no more tenants
+// with connections than the capacity.
 type FairShare struct {
 	capacity, maxIdle int
-	held              int
-	activeWeight      float64 // of those that hold something
+	held              int     // connections of all tenants
+	activeWeight      float64 // sum of the weights of the tenants with connections
 	byName            map[uint64]*tenant
-	idle              *list.List // those that hold nothing, the last seen in front
+	idle              *list.List // tenants without connections, the most recent one first
 }
 
+// tenant is one tenant of a FairShare.
 type tenant struct {
 	name        uint64
 	weight      float64
-	held        int
-	idleElement *list.Element // among the idle; nil while it holds something
+	held        int           // its connections
+	idleElement *list.Element // its place in FairShare.idle; nil while it has connections
 }
 
-// NewFairShare shares so many connections, and remembers so many tenants that hold nothing.
-func NewFairShare(capacity, most int) *FairShare {
-	return &FairShare{capacity: capacity, maxIdle: max(1, most), byName: map[uint64]*tenant{}, idle: list.New()}
+// NewFairShare returns a FairShare of capacity connections that remembers up to maxIdle tenants without connections.
+func NewFairShare(capacity, maxIdle int) *FairShare {
+	return &FairShare{capacity: capacity, maxIdle: max(1, maxIdle), byName: map[uint64]*tenant{}, idle: list.New()}
 }
 
-// lookup finds one by its name, or makes it.
+// lookup returns the tenant of a name, a new one if there is none, and sets its weight.
 func (t *FairShare) lookup(name uint64, weight float64) *tenant {
 	x := t.byName[name]
 	if x == nil {
@@ -158,25 +164,26 @@
 	return x
 }
 
-// addIdle enters one that holds nothing, and forgets the one that was seen longest ago where there are too many.
+// addIdle adds a tenant without connections to the idle ones, and forgets the least recent one if there are too many.
 func (t *FairShare) addIdle(x *tenant) {
 	x.idleElement = t.idle.PushFront(x)
 	if t.idle.Len() > t.maxIdle {
-		last := t.idle.Back()
-		t.idle.Remove(last)
-		delete(t.byName, last.Value.(*tenant).name)
+		oldest := t.idle.Back()
+		t.idle.Remove(oldest)
+		delete(t.byName, oldest.Value.(*tenant).name)
 	}
 }
 
-// reservedShare is the share of the capacity that only tenants under their share are given, so that one that comes when
-// others have taken all the rest is let in at once. A sixteenth: with more tenants than that coming at once, those
-// over their share must leave first, and Over tells how far the capacity is passed until they have.
+// reservedShare is the part of the capacity that only tenants below their share may use, so that a new tenant is admitted
+// at once even when others have taken all the rest. When new tenants need more than this sixteenth at once, they are still
+// admitted, and Excess returns by how much the capacity is exceeded until connections of tenants over their share end.
 const reservedShare = 1.0 / 16
 
-// minWeight guards against a weight of nothing, which would have no share.
+// minWeight is the least weight that counts: a tenant with a weight of 0 would have no share.
 const minWeight = 0.001
 
-// Take takes a connection for a tenant, if it may have one: while there is room, or where it is under its share.
+// Take adds a connection of a tenant if there is room outside of the reserve or the tenant is below its share. It reports
+// whether it did.
 func (t *FairShare) Take(name uint64, weight float64) bool {
 	x := t.lookup(name, max(weight, minWeight))
 	total := t.activeWeight
@@ -197,7 +204,7 @@
 	return true
 }
 
-// Release gives a tenant's connection back.
+// Release removes a connection of a tenant.
 func (t *FairShare) Release(name uint64) {
 	x := t.byName[name]
 	if x == nil || x.held == 0 {
@@ -211,7 +218,7 @@
 	}
 }
 
-// Held is how many connections a tenant has; Over how many are held beyond the capacity.
+// Held returns the number of connections of a tenant.
 func (t *FairShare) Held(name uint64) int {
 	if x := t.byName[name]; x != nil {
 		return x.held
@@ -219,7 +226,8 @@
 	return 0
 }
 
+// Excess returns the number of connections beyond the capacity.
 func (t *FairShare) Excess() int { return max(0, t.held-t.capacity) }
 
-// Len is how many tenants are remembered.
+// Len returns the number of tenants that are remembered.
 func (t *FairShare) Len() int { return len(t.byName) }
