--- a/orders/orders.go
+++ b/orders/orders.go
@@ -1,5 +1,5 @@
-// Package orders joins what the server list says with what operators ordered. It decides which orders count, and what
-// state the decisions hear of each server; it is free of I/O and handed the time.
+// Package orders combines the server list with the operators' orders to drain servers. It decides which orders are in
+// force, and which state of each server the balancer sees. It does no I/O, and its callers pass in the time.
 package orders
 
 import (
@@ -10,131 +10,135 @@
 	"hatchproxy/logic"
 )
 
-// Verb is what an order wants.
+// Verb is the kind of an order.
 type Verb string
 
 const (
-	Drain   Verb = "drain"   // nothing new to the server, and who stands there is moved
-	Undrain Verb = "undrain" // what the list says counts again
+	Drain   Verb = "drain"   // the server gets no new connections, and its connections are moved
+	Undrain Verb = "undrain" // ends a drain: the state of the list applies again
 )
 
-// Order is one order. Its place among all is its author's term and its number: a number belongs to one order, and a
-// higher one is newer; a higher term is an author that has taken over from all of lower ones.
+// Order is an operator's order on one server. Orders are sequenced by the term of their author and by their number: a number
+// belongs to one order, and a higher number is newer; the author of a higher term has replaced those of all lower ones.
 type Order struct {
 	ID          string         `json:"id"`
 	Term        uint64         `json:"term"`
 	Number      uint64         `json:"number"`
 	Verb        Verb           `json:"verb"`
-	ServerUID   string         `json:"server"`           // its uid
-	ExpiresAt   logic.Micros   `json:"until,omitempty"`  // Unix time in microseconds at which it ends by itself; 0 for never
-	ServerStart logic.Micros   `json:"launch,omitempty"` // it counts only for a server that started then; 0 for any start
-	ServerID    logic.ServerID `json:"-"`                // the uid's number, set by who reads the order
+	ServerUID   string         `json:"server"`           // as in the server list
+	ExpiresAt   logic.Micros   `json:"until,omitempty"`  // Unix time in microseconds at which the order expires; 0 for never
+	ServerStart logic.Micros   `json:"launch,omitempty"` // the start time of the server process that the order is for, as in the server list; 0 for any
+	ServerID    logic.ServerID `json:"-"`                // derived from ServerUID by the reader of the order
 }
 
-// Verdict is what became of an order.
+// Verdict is the result of applying an order.
 type Verdict string
 
 const (
-	Obeyed   Verdict = "obeyed"
-	Repeated Verdict = "repeated" // it was obeyed before; nothing changes
-	Stale    Verdict = "stale"    // a newer order on this server, or a newer author, has been heard
-	Refused  Verdict = "refused"  // it makes no sense
-	Unknown  Verdict = "unknown"  // nobody knows the server; it is kept, and counts should the server come
+	Obeyed   Verdict = "obeyed"   // it is in force
+	Repeated Verdict = "repeated" // it was applied before; nothing changes
+	Stale    Verdict = "stale"    // a newer order on this server, or one of a newer author, was received before
+	Refused  Verdict = "refused"  // it is invalid
+	Unknown  Verdict = "unknown"  // no list has named the server; the order is kept, and applies when one does
 )
 
-// Answer is a verdict with its reason. State is what the decisions hear of the server now.
+// Answer is the response to an order: the verdict with its reason, and the state of the server that the balancer sees now.
 type Answer struct {
 	Verdict    Verdict      `json:"verdict"`
 	Reason     string       `json:"why,omitempty"`
 	State      string       `json:"state,omitempty"`
-	ReceivedAt logic.Micros `json:"at"` // Unix time in microseconds at which it was heard first
+	ReceivedAt logic.Micros `json:"at"` // Unix time in microseconds at which the order was first received
 }
 
 const (
-	// maxOrders bounds the orders that are kept: far more than servers that drain at once.
+	// maxOrders bounds the orders that are kept. It is far above the number of servers that drain at once.
 	maxOrders = 4096
-	// maxNameLength bounds ids and uids.
+	// maxNameLength bounds order ids and server uids, in bytes.
 	maxNameLength = 200
 )
 
-// serverEntry is what is known of a server.
+// serverEntry is what a Registry knows of one server.
 type serverEntry struct {
-	listed     bool // on the list that is being told, or on the last
-	everListed bool // it has been on a list
-	listState  logic.State
-	startedAt  logic.Micros
-	order      *Order // the newest order on it
-	receivedAt logic.Micros
-	drained    bool // by that order
+	listed     bool         // named by the current list, or so far by the full list in progress
+	everListed bool         // named by some list
+	listState  logic.State  // according to the list
+	startedAt  logic.Micros // start time of its process, according to the list
+	order      *Order       // the newest order on it; nil if there is none
+	receivedAt logic.Micros // when order was first received
+	drained    bool         // order drains it, and its expiry has not been reported by Expire
 }
 
-// Registry keeps the orders of an instance beside its list.
+// Registry keeps the server list of an instance and the newest order on each server.
 type Registry struct {
 	term       uint64
 	servers    map[logic.ServerID]*serverEntry
-	fullList   bool
-	orderCount int // posts that have an order
+	fullList   bool // a full list is in progress
+	orderCount int  // servers that have an order
 }
 
-// New makes a desk without orders.
+// New returns an empty Registry.
 func New() *Registry { return &Registry{servers: map[logic.ServerID]*serverEntry{}} }
 
-func (d *Registry) entry(id logic.ServerID) *serverEntry {
-	p := d.servers[id]
-	if p == nil {
-		p = &serverEntry{listState: logic.Gone}
-		d.servers[id] = p
+// entry returns the entry of a server, a new one if there is none.
+func (r *Registry) entry(id logic.ServerID) *serverEntry {
+	s := r.servers[id]
+	if s == nil {
+		s = &serverEntry{listState: logic.Gone}
+		r.servers[id] = s
 	}
-	return p
+	return s
 }
 
-// BeginFullList begins a whole list, Done ends a list or a change. Done returns the servers that are gone by that, in order.
-func (d *Registry) BeginFullList() {
-	d.fullList = true
-	for _, p := range d.servers {
-		p.listed = false
+// BeginFullList begins a full list. UpdateServer is then called for each server on it, and EndList at the end.
+func (r *Registry) BeginFullList() {
+	r.fullList = true
+	for _, s := range r.servers {
+		s.listed = false
 	}
 }
 
-func (d *Registry) EndList() {
-	if !d.fullList {
+// EndList ends a full list, or a change of the list. The servers that a full list does not name are gone.
+func (r *Registry) EndList() {
+	if !r.fullList {
 		return
 	}
-	d.fullList = false
-	for id, p := range d.servers {
-		if p.listed {
+	r.fullList = false
+	for id, s := range r.servers {
+		if s.listed {
 			continue
 		}
-		p.listState = logic.Gone
-		if p.order == nil {
-			delete(d.servers, id) // guards against a memory of all servers that ever were
+		s.listState = logic.Gone
+		if s.order == nil {
+			delete(r.servers, id) // otherwise all servers that have ever been listed would be kept
 		}
 	}
 }
 
-// UpdateServer takes what the list says of a server and returns what the decisions are to hear.
-func (d *Registry) UpdateServer(now logic.Micros, id logic.ServerID, state logic.State, launched logic.Micros) logic.State {
-	p := d.entry(id)
-	p.listed, p.everListed, p.listState, p.startedAt = true, true, state, launched
-	return p.effectiveState(now)
+// UpdateServer sets the state and the process start time of a server from the list, and returns its effective state.
+func (r *Registry) UpdateServer(now logic.Micros, id logic.ServerID, state logic.State, startedAt logic.Micros) logic.State {
+	s := r.entry(id)
+	s.listed, s.everListed, s.listState, s.startedAt = true, true, state, startedAt
+	return s.effectiveState(now)
 }
 
-// effectiveState is the state under the order in force. An order never makes a server readier than the list has it.
-func (p *serverEntry) effectiveState(now logic.Micros) logic.State {
-	if p.listState == logic.Ready && p.drained && p.orderInForce(now) {
+// effectiveState returns the state under the order in force, if there is one. An order never makes a server available that
+// the list has as draining or gone.
+func (s *serverEntry) effectiveState(now logic.Micros) logic.State {
+	if s.listState == logic.Ready && s.drained && s.orderInForce(now) {
 		return logic.Draining
 	}
-	return p.listState
+	return s.listState
 }
 
-// orderInForce tells whether the newest order still counts.
-func (p *serverEntry) orderInForce(now logic.Micros) bool {
-	o := p.order
-	return o != nil && (o.ExpiresAt == 0 || now < o.ExpiresAt) && (o.ServerStart == 0 || !p.everListed || o.ServerStart == p.startedAt)
+// orderInForce reports whether the newest order still applies: it has not expired, and it is not for an earlier process.
+func (s *serverEntry) orderInForce(now logic.Micros) bool {
+	o := s.order
+	return o != nil && (o.ExpiresAt == 0 || now < o.ExpiresAt) && (o.ServerStart == 0 || !s.everListed || o.ServerStart == s.startedAt)
 }
 
-// Apply hears an order. Changed tells that the decisions are to hear the server's state anew.
-func (d *Registry) Apply(now logic.Micros, o Order) (ans Answer, changed bool) {
+// Apply applies an order. It reports whether the effective state of the server has changed, so that the balancer must be
+// told of it.
+func (r *Registry) Apply(now logic.Micros, o Order) (ans Answer, changed bool) {
 	refuse := func(v Verdict, format string, a ...any) (Answer, bool) {
 		return Answer{Verdict: v, Reason: fmt.Sprintf(format, a...), ReceivedAt: now}, false
 	}
@@ -145,81 +149,80 @@
 		return refuse(Refused, "an order needs an id and a server, of %d bytes at most", maxNameLength)
 	case o.ExpiresAt != 0 && o.ExpiresAt <= now:
 		return refuse(Refused, "it had ended before it was heard")
-	case o.Term < d.term:
-		return refuse(Stale, "its author's term is %d, and one of term %d has been heard", o.Term, d.term)
+	case o.Term < r.term:
+		return refuse(Stale, "its author's term is %d, and one of term %d has been heard", o.Term, r.term)
 	}
-	d.term = o.Term
-	p := d.servers[o.ServerID]
-	if p == nil {
-		p = &serverEntry{listState: logic.Gone}
+	r.term = o.Term
+	s := r.servers[o.ServerID]
+	if s == nil {
+		s = &serverEntry{listState: logic.Gone}
 	}
-	if last := p.order; last != nil {
+	if last := s.order; last != nil {
 		switch {
 		case o.Number < last.Number:
 			return refuse(Stale, "number %d is older than %d, %q", o.Number, last.Number, last.ID)
 		case o.Number == last.Number && o.ID != last.ID:
 			return refuse(Refused, "number %d is that of another order, %q", o.Number, last.ID)
 		case o.Number == last.Number:
-			return Answer{Verdict: Repeated, State: StateName(p.effectiveState(now)), ReceivedAt: p.receivedAt}, false
+			return Answer{Verdict: Repeated, State: StateName(s.effectiveState(now)), ReceivedAt: s.receivedAt}, false
 		}
-	} else if d.orderCount == maxOrders {
+	} else if r.orderCount == maxOrders {
 		return refuse(Refused, "%d orders are kept already", maxOrders)
 	} else {
-		d.orderCount++
+		r.orderCount++
 	}
-	d.servers[o.ServerID] = p
-	before := p.effectiveState(now)
-	p.order, p.receivedAt, p.drained = &o, now, o.Verb == Drain
-	after := p.effectiveState(now)
+	r.servers[o.ServerID] = s
+	before := s.effectiveState(now)
+	s.order, s.receivedAt, s.drained = &o, now, o.Verb == Drain
+	after := s.effectiveState(now)
 	ans = Answer{Verdict: Obeyed, State: StateName(after), ReceivedAt: now}
 	switch {
-	case !p.everListed:
+	case !s.everListed:
 		ans.Verdict, ans.Reason = Unknown, "no list has named this server; the order counts when one does"
 	case o.Verb == Undrain && after != logic.Ready:
 		ans.Reason = "the list itself says so"
-	case o.Verb == Drain && o.ServerStart != 0 && !p.orderInForce(now):
+	case o.Verb == Drain && o.ServerStart != 0 && !s.orderInForce(now):
 		ans.Reason = "the server has been started anew since"
 	}
 	return ans, before != after
 }
 
-// Expire returns the servers whose order has ended by time since it was last asked, in order: the decisions are to
-// hear their state anew.
-func (d *Registry) Expire(now logic.Micros) []logic.ServerID {
-	var over []logic.ServerID
-	for id, p := range d.servers {
-		if p.drained && p.order.ExpiresAt != 0 && now >= p.order.ExpiresAt {
-			p.drained = false
-			over = append(over, id)
+// Expire returns the sorted servers whose drain has expired since the last call. The balancer must be told their state.
+func (r *Registry) Expire(now logic.Micros) []logic.ServerID {
+	var expired []logic.ServerID
+	for id, s := range r.servers {
+		if s.drained && s.order.ExpiresAt != 0 && now >= s.order.ExpiresAt {
+			s.drained = false
+			expired = append(expired, id)
 		}
 	}
-	slices.Sort(over)
-	return over
+	slices.Sort(expired)
+	return expired
 }
 
-// State is what the decisions hear of a server, and whether that is by an order.
-func (d *Registry) State(now logic.Micros, id logic.ServerID) (state logic.State, ordered bool) {
-	p := d.servers[id]
-	if p == nil {
+// State returns the effective state of a server, and whether an order has changed it from that of the list.
+func (r *Registry) State(now logic.Micros, id logic.ServerID) (state logic.State, ordered bool) {
+	s := r.servers[id]
+	if s == nil {
 		return logic.Gone, false
 	}
-	return p.effectiveState(now), p.effectiveState(now) != p.listState
+	return s.effectiveState(now), s.effectiveState(now) != s.listState
 }
 
-// Orders are the newest orders on each server, oldest first: what an instance goes on with, also alone.
-func (d *Registry) Orders() []Order {
-	var held []Order
-	for _, p := range d.servers {
-		if p.order != nil {
-			held = append(held, *p.order)
+// Orders returns the newest order on each server, sorted by number.
+func (r *Registry) Orders() []Order {
+	var newest []Order
+	for _, s := range r.servers {
+		if s.order != nil {
+			newest = append(newest, *s.order)
 		}
 	}
-	slices.SortFunc(held, func(a, b Order) int { return cmp.Compare(a.Number, b.Number) })
-	return held
+	slices.SortFunc(newest, func(a, b Order) int { return cmp.Compare(a.Number, b.Number) })
+	return newest
 }
 
-// Term is the highest author's term that was heard.
-func (d *Registry) Term() uint64 { return d.term }
+// Term returns the highest author's term of the valid orders received.
+func (r *Registry) Term() uint64 { return r.term }
 
-// StateName is a state's name.
+// StateName returns the name of a state.
 func StateName(s logic.State) string { return [...]string{"ready", "draining", "gone"}[s] }
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -15,106 +15,107 @@
 	now    = 1000 * logic.Second
 )
 
-// newOrder is one on the server, named by its number.
+// newOrder returns an order on the server. Its id depends on its number only.
 func newOrder(term, number uint64, verb orders.Verb) orders.Order {
 	return orders.Order{ID: string(rune('a' + number)), Term: term, Number: number, Verb: verb, ServerUID: "s7", ServerID: server}
 }
 
-// newRegistry is a desk whose list has the server as ready.
+// newRegistry returns a registry whose list has the server as ready.
 func newRegistry() *orders.Registry {
-	d := orders.New()
-	d.BeginFullList()
-	d.UpdateServer(now, server, logic.Ready, 5)
-	d.EndList()
-	return d
+	r := orders.New()
+	r.BeginFullList()
+	r.UpdateServer(now, server, logic.Ready, 5)
+	r.EndList()
+	return r
 }
 
-func requireVerdict(t *testing.T, d *orders.Registry, o orders.Order, want orders.Verdict, changed bool) orders.Answer {
+// requireVerdict applies an order and requires its verdict, and whether the state of the server has changed.
+func requireVerdict(t *testing.T, r *orders.Registry, o orders.Order, want orders.Verdict, changed bool) orders.Answer {
 	t.Helper()
-	ans, did := d.Apply(now, o)
+	ans, got := r.Apply(now, o)
 	require.Equal(t, want, ans.Verdict, ans.Reason)
-	require.Equal(t, changed, did)
+	require.Equal(t, changed, got)
 	return ans
 }
 
-func requireState(t *testing.T, d *orders.Registry, want logic.State) {
+func requireState(t *testing.T, r *orders.Registry, want logic.State) {
 	t.Helper()
-	got, _ := d.State(now, server)
+	got, _ := r.State(now, server)
 	require.Equal(t, want, got)
 }
 
-func TestAnOrderDrainsWhatTheListHasReadyAndUndoingItBringsTheListBack(t *testing.T) {
-	d := newRegistry()
-	requireVerdict(t, d, newOrder(1, 1, orders.Drain), orders.Obeyed, true)
-	requireState(t, d, logic.Draining)
-	require.Equal(t, logic.Draining, d.UpdateServer(now, server, logic.Ready, 5), "the list says ready while the order says drain")
-	requireVerdict(t, d, newOrder(1, 2, orders.Undrain), orders.Obeyed, true)
-	requireState(t, d, logic.Ready)
+func TestDrainOverridesAReadyServerUntilItIsUndone(t *testing.T) {
+	r := newRegistry()
+	requireVerdict(t, r, newOrder(1, 1, orders.Drain), orders.Obeyed, true)
+	requireState(t, r, logic.Draining)
+	require.Equal(t, logic.Draining, r.UpdateServer(now, server, logic.Ready, 5), "the list says ready and the order says drain")
+	requireVerdict(t, r, newOrder(1, 2, orders.Undrain), orders.Obeyed, true)
+	requireState(t, r, logic.Ready)
 }
 
-func TestAnOrderNeverMakesAServerReadierThanTheList(t *testing.T) {
-	d := newRegistry()
-	d.UpdateServer(now, server, logic.Draining, 5)
-	ans := requireVerdict(t, d, newOrder(1, 1, orders.Undrain), orders.Obeyed, false)
+func TestOrdersNeverOverrideADrainingOrGoneServer(t *testing.T) {
+	r := newRegistry()
+	r.UpdateServer(now, server, logic.Draining, 5)
+	ans := requireVerdict(t, r, newOrder(1, 1, orders.Undrain), orders.Obeyed, false)
 	require.Equal(t, "the list itself says so", ans.Reason)
-	requireState(t, d, logic.Draining)
-	d.BeginFullList()
-	d.EndList()
-	requireState(t, d, logic.Gone)
+	requireState(t, r, logic.Draining)
+	r.BeginFullList()
+	r.EndList()
+	requireState(t, r, logic.Gone)
 }
 
 func TestRepeatedOrdersChangeNothingAndOlderOnesAreStale(t *testing.T) {
-	d := newRegistry()
-	requireVerdict(t, d, newOrder(2, 5, orders.Drain), orders.Obeyed, true)
-	requireVerdict(t, d, newOrder(2, 5, orders.Drain), orders.Repeated, false)
-	requireVerdict(t, d, newOrder(2, 4, orders.Undrain), orders.Stale, false)
-	requireVerdict(t, d, newOrder(1, 9, orders.Undrain), orders.Stale, false) // an author that was taken over from
+	r := newRegistry()
+	requireVerdict(t, r, newOrder(2, 5, orders.Drain), orders.Obeyed, true)
+	requireVerdict(t, r, newOrder(2, 5, orders.Drain), orders.Repeated, false)
+	requireVerdict(t, r, newOrder(2, 4, orders.Undrain), orders.Stale, false)
+	requireVerdict(t, r, newOrder(1, 9, orders.Undrain), orders.Stale, false) // an author that has been replaced
 	other := newOrder(2, 5, orders.Undrain)
 	other.ID = "another"
-	requireVerdict(t, d, other, orders.Refused, false)
-	requireVerdict(t, d, newOrder(3, 5, orders.Drain), orders.Repeated, false) // the new author tells what stands
-	requireVerdict(t, d, newOrder(2, 6, orders.Undrain), orders.Stale, false)
-	requireState(t, d, logic.Draining)
+	requireVerdict(t, r, other, orders.Refused, false)
+	requireVerdict(t, r, newOrder(3, 5, orders.Drain), orders.Repeated, false) // the new author sends the orders in force
+	requireVerdict(t, r, newOrder(2, 6, orders.Undrain), orders.Stale, false)
+	requireState(t, r, logic.Draining)
 }
 
-func TestAnOrderForAServerThatNobodyKnowsCountsWhenItComes(t *testing.T) {
-	d := orders.New()
-	requireVerdict(t, d, newOrder(1, 1, orders.Drain), orders.Unknown, false)
-	require.Equal(t, logic.Draining, d.UpdateServer(now, server, logic.Ready, 5))
+func TestOrderForAnUnknownServerAppliesOnceItIsListed(t *testing.T) {
+	r := orders.New()
+	requireVerdict(t, r, newOrder(1, 1, orders.Drain), orders.Unknown, false)
+	require.Equal(t, logic.Draining, r.UpdateServer(now, server, logic.Ready, 5))
 }
 
-func TestADrainLastsOverARestartOfItsServerUnlessItIsForOneStartOnly(t *testing.T) {
-	d := newRegistry()
-	requireVerdict(t, d, newOrder(1, 1, orders.Drain), orders.Obeyed, true)
-	d.UpdateServer(now, server, logic.Gone, 5)
-	require.Equal(t, logic.Draining, d.UpdateServer(now, server, logic.Ready, 9))
-	once := newOrder(1, 2, orders.Drain)
-	once.ServerStart = 9
-	requireVerdict(t, d, once, orders.Obeyed, false)
-	requireState(t, d, logic.Draining)
-	require.Equal(t, logic.Ready, d.UpdateServer(now, server, logic.Ready, 11))
+func TestDrainOutlastsARestartUnlessItIsForOneProcessOnly(t *testing.T) {
+	r := newRegistry()
+	requireVerdict(t, r, newOrder(1, 1, orders.Drain), orders.Obeyed, true)
+	r.UpdateServer(now, server, logic.Gone, 5)
+	require.Equal(t, logic.Draining, r.UpdateServer(now, server, logic.Ready, 9))
+	oneProcess := newOrder(1, 2, orders.Drain)
+	oneProcess.ServerStart = 9
+	requireVerdict(t, r, oneProcess, orders.Obeyed, false)
+	requireState(t, r, logic.Draining)
+	require.Equal(t, logic.Ready, r.UpdateServer(now, server, logic.Ready, 11))
 }
 
-func TestAnOrderEndsByItsTime(t *testing.T) {
-	d := newRegistry()
+func TestOrderExpires(t *testing.T) {
+	r := newRegistry()
 	o := newOrder(1, 1, orders.Drain)
 	o.ExpiresAt = now + logic.Second
-	requireVerdict(t, d, o, orders.Obeyed, true)
-	require.Empty(t, d.Expire(now+logic.Second-1))
-	require.Equal(t, []logic.ServerID{server}, d.Expire(now+logic.Second))
-	require.Empty(t, d.Expire(now+2*logic.Second), "told once")
-	requireState(t, d, logic.Ready)
+	requireVerdict(t, r, o, orders.Obeyed, true)
+	require.Empty(t, r.Expire(now+logic.Second-1))
+	require.Equal(t, []logic.ServerID{server}, r.Expire(now+logic.Second))
+	require.Empty(t, r.Expire(now+2*logic.Second), "each expiry is returned once")
+	requireState(t, r, logic.Ready)
 	o.Number, o.ID, o.ExpiresAt = 2, "c", now
-	requireVerdict(t, d, o, orders.Refused, false)
+	requireVerdict(t, r, o, orders.Refused, false)
 }
 
-func TestNonsenseIsRefusedAndTheNumberOfOrdersIsBounded(t *testing.T) {
-	d := newRegistry()
+func TestInvalidOrdersAreRefusedAndTheirNumberIsBounded(t *testing.T) {
+	r := newRegistry()
 	for _, o := range []orders.Order{
 		{Verb: orders.Drain, ServerUID: "s7", ServerID: server}, {ID: "a", Verb: "stop", ServerUID: "s7", ServerID: server},
 		{ID: "a", Verb: orders.Drain}, {ID: string(make([]byte, 201)), Verb: orders.Drain, ServerUID: "s7", ServerID: server},
 	} {
-		requireVerdict(t, d, o, orders.Refused, false)
+		requireVerdict(t, r, o, orders.Refused, false)
 	}
 	for i := range 4097 {
 		o := newOrder(1, uint64(i), orders.Drain)
@@ -123,30 +124,30 @@
 		if i == 4096 {
 			want = orders.Refused
 		}
-		requireVerdict(t, d, o, want, false)
+		requireVerdict(t, r, o, want, false)
 	}
 }
 
-// Whatever comes in whatever order, and however often: in the end the newest order of the newest author counts.
-func TestOrdersThatComeInAnyOrderAndOftenEndAtTheNewest(t *testing.T) {
+// Orders may arrive in any sequence, and repeatedly: in the end the newest one must be in force.
+func TestNewestOrderIsInForceAfterAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := rapid.SliceOfN(rapid.SampledFrom([]orders.Verb{orders.Drain, orders.Undrain}), 1, 12).Draw(t, "log")
-		d := newRegistry()
-		tell := func(i int) {
-			before, _ := d.State(now, server)
-			_, changed := d.Apply(now, newOrder(1, uint64(i+1), log[i]))
-			after, _ := d.State(now, server)
+		r := newRegistry()
+		apply := func(i int) {
+			before, _ := r.State(now, server)
+			_, changed := r.Apply(now, newOrder(1, uint64(i+1), log[i]))
+			after, _ := r.State(now, server)
 			if changed != (before != after) {
-				t.Fatalf("changed is %v, and the state went from %v to %v", changed, before, after)
+				t.Fatalf("changed is %v, but the state was %v and is now %v", changed, before, after)
 			}
 		}
 		for _, i := range rapid.SliceOf(rapid.IntRange(0, len(log)-1)).Draw(t, "told") {
-			tell(i)
+			apply(i)
 		}
-		tell(len(log) - 1)
-		got, _ := d.State(now, server)
+		apply(len(log) - 1)
+		got, _ := r.State(now, server)
 		if want := log[len(log)-1] == orders.Drain; want != (got == logic.Draining) {
-			t.Fatalf("%v ends as %v", log, got)
+			t.Fatalf("after the orders %v the state is %v", log, got)
 		}
 	})
 }
