--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,6 +1,6 @@
-// Package lifecycle is the one place that decides whether something may be done for a request now: sent, sent again,
-// answered, established or closed. It follows each request through its states and knows no socket and no clock. What it
-// refuses is a violation: its caller does not do it, and counts it.
+// Package lifecycle is the state machine of a client's request. It alone decides whether the request may be sent, sent
+// again, answered, established or closed now. It uses no socket and no clock. An action that it refuses is a violation of
+// a rule: the caller must not perform it, and counts it.
 package lifecycle
 
 import (
@@ -9,14 +9,14 @@
 	"hatchproxy/logic"
 )
 
-// State is where a request stands.
+// State is the state of a request.
 type State uint8
 
 const (
-	Reading     State = iota // its client has connected; its line is not whole
-	Pending                  // taken; no attempt is out
-	Attempting               // an attempt is out
-	Established              // its connection stands
+	Reading     State = iota // its client has connected; its line has not been read completely
+	Pending                  // accepted; no attempt is in progress
+	Attempting               // an attempt is in progress
+	Established              // its connection is established
 	Ended                    // it has its final answer, its client has left, or its connection has ended
 )
 
@@ -24,168 +24,169 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// Rule names what a violation breaks.
+// Rule is a rule of the protocol that actions on requests must keep to. Its text is the name in logs and metrics.
 type Rule string
 
-// The rules. Source: the protocol's rules on sockets; docs/endings.md lists who asks for each.
+// The rules, after what the protocol requires of connections. docs/endings.md lists where each of them is checked.
 const (
 	OneAnswer        Rule = "one-answer"          // a request has one final answer
 	NothingAfterEnd  Rule = "nothing-after-end"   // nothing is sent for a request that has ended
-	OneAttempt       Rule = "one-attempt"         // one attempt is out at a time
-	BeforeDeadline   Rule = "in-time"             // nothing is sent past the deadline
+	OneAttempt       Rule = "one-attempt"         // at most one attempt is in progress
+	BeforeDeadline   Rule = "in-time"             // nothing is sent after the deadline
 	ClientPresent    Rule = "client-present"      // nothing is sent for a client that has left
-	ProofForRepeat   Rule = "proof-for-repeat"    // once-only: again only if no attempt can have run
-	ProofForRefusal  Rule = "proof-for-refusal"   // once-only: refused only if no attempt can have run
-	NoSilentClose    Rule = "no-silent-close"     // a request that was read is not closed without an answer
-	EndOnlyWhenTold  Rule = "end-only-when-told"  // a process ends only when it was told to
-	NothingLeftAtEnd Rule = "nothing-left-at-end" // and when each request has its answer
+	ProofForRepeat   Rule = "proof-for-repeat"    // a one-shot request is sent again only if no attempt can have run
+	ProofForRefusal  Rule = "proof-for-refusal"   // a one-shot request is refused only if no attempt can have run
+	NoSilentClose    Rule = "no-silent-close"     // a connection on which a request has been read is not closed without an answer
+	EndOnlyWhenTold  Rule = "end-only-when-told"  // the process ends only when it was told to
+	NothingLeftAtEnd Rule = "nothing-left-at-end" // the process ends only when each request has its answer
 )
 
-// Violation is an action that a rule forbids in a request's state.
+// Violation is the error for an action that a rule forbids in the state of the request.
 type Violation struct {
 	Rule   Rule
 	State  State
-	Detail string
+	Detail string // the action, or why it is forbidden
 }
 
 func (v *Violation) Error() string {
-	return fmt.Sprintf("%s: not while a request is %s: %s", v.Rule, v.State, v.Detail)
+	return fmt.Sprintf("%s: not allowed while the request is %s: %s", v.Rule, v.State, v.Detail)
 }
 
-// Answer is what a client is told.
+// Answer is the final answer to a client.
 type Answer uint8
 
 const (
-	Refused Answer = iota // trying again is harmless
-	Failed                // nothing is promised
+	Refused Answer = iota // a retry is harmless
+	Failed                // no promise: the request may have run
 )
 
-// Request is one client's request. The zero value is one that is being read.
+// Request is the state of one client's request. The zero value is a request that is being read.
 type Request struct {
 	state       State
 	idempotency logic.Idempotency
 	deadline    logic.Micros
-	established bool // it stood once
-	partialLine bool // a part of its line has come
-	sent        bool // the attempt that is out has been written whole
-	mayHaveRun  bool // an earlier attempt may have
+	established bool // its connection is or was established
+	partialLine bool // a part of its line has been read
+	sent        bool // the line of the attempt in progress has been handed over for writing
+	mayHaveRun  bool // an earlier attempt may have run
 	attempts    int
 }
 
-// State tells where it stands.
+// State returns the state of the request.
 func (r *Request) State() State { return r.state }
 
-// HasEnded tells whether nothing may be done for it any more.
+// HasEnded reports whether the request has ended, so that nothing more may be done for it.
 func (r *Request) HasEnded() bool { return r.state == Ended }
 
-// WasEstablished tells whether its connection stands, or stood until it ended.
+// WasEstablished reports whether the connection of the request is established, or was until it ended.
 func (r *Request) WasEstablished() bool { return r.established }
 
-// Attempts counts the attempts so far.
+// Attempts returns the number of attempts so far.
 func (r *Request) Attempts() int { return r.attempts }
 
-// SetPartialLine notes whether a part of its line has come, and waits for the rest.
-func (r *Request) SetPartialLine(part bool) { r.partialLine = part }
+// SetPartialLine records whether a part of the request line has been read and the rest is still to come.
+func (r *Request) SetPartialLine(partial bool) { r.partialLine = partial }
 
-// Accept takes a request whose line is whole: what a second run of it would do, and until when it is to be answered.
-func (r *Request) Accept(effect logic.Idempotency, deadline logic.Micros) error {
+// Accept records that the request line has been read: whether the request may be repeated, and its deadline.
+func (r *Request) Accept(idempotency logic.Idempotency, deadline logic.Micros) error {
 	if r.state != Reading {
-		return r.violation(OneAnswer, "it was taken before")
+		return r.violation(OneAnswer, "it was accepted before")
 	}
-	r.state, r.idempotency, r.deadline = Pending, effect, deadline
+	r.state, r.idempotency, r.deadline = Pending, idempotency, deadline
 	return nil
 }
 
-// Resume takes a connection that stands already, from another process.
+// Resume makes it the request of an established connection that was handed over by another process.
 func (r *Request) Resume() { r.state, r.established = Established, true }
 
-// Expire brings the deadline forward.
+// Expire moves the deadline to now if it is later.
 func (r *Request) Expire(now logic.Micros) { r.deadline = min(r.deadline, now) }
 
-// StartAttempt begins an attempt, or says why there may be none.
+// StartAttempt begins an attempt, or returns the violation that this would be.
 func (r *Request) StartAttempt(now logic.Micros) error {
 	switch {
 	case r.state == Ended:
-		return r.violation(NothingAfterEnd, "an attempt begins")
+		return r.violation(NothingAfterEnd, "an attempt would begin")
 	case r.state != Pending:
-		return r.violation(OneAttempt, "another attempt begins")
+		return r.violation(OneAttempt, "another attempt would begin")
 	case r.mayHaveRun && r.idempotency == logic.OneShot:
 		return r.violation(ProofForRepeat, "an earlier attempt may have run")
 	case now >= r.deadline:
-		return r.violation(BeforeDeadline, "an attempt begins")
+		return r.violation(BeforeDeadline, "an attempt would begin")
 	}
 	r.state, r.sent = Attempting, false
 	r.attempts++
 	return nil
 }
 
-// CheckSend says why the attempt's line may not be written, in the instant before it would be; nil where it may. present
-// tells whether its client is still there. A refusal here is no violation by itself: the world may have changed since
-// the attempt began.
-func (r *Request) CheckSend(now logic.Micros, present bool) error {
+// CheckSend must be called right before the line of the attempt is written. It returns the rule that forbids this now, or
+// nil. clientPresent tells whether the client is still connected. A refusal is no fault of the caller: the client may have left,
+// or the deadline passed, since the attempt began.
+func (r *Request) CheckSend(now logic.Micros, clientPresent bool) error {
 	switch {
 	case r.state == Ended:
-		return r.violation(NothingAfterEnd, "a line is about to be sent")
+		return r.violation(NothingAfterEnd, "its line would be sent")
 	case r.state != Attempting || r.sent:
-		return r.violation(OneAttempt, "a line is about to be sent")
-	case !present:
-		return r.violation(ClientPresent, "a line is about to be sent")
+		return r.violation(OneAttempt, "its line would be sent")
+	case !clientPresent:
+		return r.violation(ClientPresent, "its line would be sent")
 	case now >= r.deadline:
-		return r.violation(BeforeDeadline, "a line is about to be sent")
+		return r.violation(BeforeDeadline, "its line would be sent")
 	}
 	return nil
 }
 
-// MarkSent notes that the line was handed over for writing.
+// MarkSent records that the line of the attempt was handed over for writing.
 func (r *Request) MarkSent() { r.sent = true }
 
-// FinishAttempt ends the attempt that is out; ran tells whether it may have run.
-func (r *Request) FinishAttempt(ran bool) {
+// FinishAttempt ends the attempt in progress; mayHaveRun tells whether the request may have run.
+func (r *Request) FinishAttempt(mayHaveRun bool) {
 	if r.state != Attempting {
 		return
 	}
 	r.state, r.sent = Pending, false
-	r.mayHaveRun = r.mayHaveRun || ran
+	r.mayHaveRun = r.mayHaveRun || mayHaveRun
 }
 
-// Establish has the connection stand.
+// Establish records that the connection is established, or returns the violation that this would be.
 func (r *Request) Establish() error {
 	if r.state != Attempting || !r.sent {
-		return r.violation(OneAnswer, "it would stand")
+		return r.violation(OneAnswer, "the connection would be established")
 	}
 	r.state, r.established = Established, true
 	return nil
 }
 
-// Answer gives the final answer and ends the request, or says why it must not be this one. A refusal that is not allowed
-// leaves the request as it is: it may fail instead.
-func (r *Request) Answer(a Answer) error {
+// Answer records the final answer and ends the request, or returns the violation that this answer would be. If Refused is
+// not allowed the request is unchanged, so that the caller can answer Failed instead.
+func (r *Request) Answer(answer Answer) error {
 	switch {
 	case r.state == Ended || r.established:
-		return r.violation(OneAnswer, "another answer")
-	case a == Refused && r.idempotency == logic.OneShot && (r.mayHaveRun || r.state == Attempting && r.sent):
+		return r.violation(OneAnswer, "it would be answered again")
+	case answer == Refused && r.idempotency == logic.OneShot && (r.mayHaveRun || r.state == Attempting && r.sent):
 		return r.violation(ProofForRefusal, "an attempt may have run")
 	}
 	r.state = Ended
 	return nil
 }
 
-// End ends a request whose client has left, or whose standing connection has ended.
+// End ends a request whose client has left, or whose established connection has ended.
 func (r *Request) End() { r.state = Ended }
 
-// Close says why its client's connection must not be closed by this side; nil where it may.
+// Close returns the rule that forbids the proxy to close the client's connection now, or nil. It changes no state.
 func (r *Request) Close() error {
 	switch r.state {
 	case Reading:
 		if r.partialLine {
-			return r.violation(NoSilentClose, "its line came in part")
+			return r.violation(NoSilentClose, "a part of its line has been read")
 		}
 	case Pending, Attempting:
-		return r.violation(NoSilentClose, "it has no answer")
+		return r.violation(NoSilentClose, "it has no answer yet")
 	}
 	return nil
 }
 
-func (r *Request) violation(rule Rule, why string) error {
-	return &Violation{Rule: rule, State: r.state, Detail: why}
+// violation returns a Violation of a rule in the state of the request.
+func (r *Request) violation(rule Rule, detail string) error {
+	return &Violation{Rule: rule, State: r.state, Detail: detail}
 }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -12,10 +12,11 @@
 
 const deadline = 1000
 
-func acceptedRequest(t *testing.T, effect logic.Idempotency) *lifecycle.Request {
+// acceptedRequest returns a request whose line has been read.
+func acceptedRequest(t *testing.T, idempotency logic.Idempotency) *lifecycle.Request {
 	r := &lifecycle.Request{}
 	r.SetPartialLine(true)
-	require.NoError(t, r.Accept(effect, deadline))
+	require.NoError(t, r.Accept(idempotency, deadline))
 	return r
 }
 
@@ -26,6 +27,7 @@
 	require.Equal(t, rule, v.Rule)
 }
 
+// sendAttempt begins an attempt and sends its line.
 func sendAttempt(t *testing.T, r *lifecycle.Request) {
 	t.Helper()
 	require.NoError(t, r.StartAttempt(1))
@@ -50,7 +52,7 @@
 	requireViolation(t, lifecycle.OneAnswer, r.Answer(lifecycle.Refused))
 }
 
-func TestWhatMayHaveRunOnceIsNeitherRepeatedNorRefused(t *testing.T) {
+func TestOneShotThatMayHaveRunIsNeitherRepeatedNorRefused(t *testing.T) {
 	r := acceptedRequest(t, logic.OneShot)
 	sendAttempt(t, r)
 	requireViolation(t, lifecycle.ProofForRefusal, r.Answer(lifecycle.Refused))
@@ -59,8 +61,8 @@
 	requireViolation(t, lifecycle.ProofForRefusal, r.Answer(lifecycle.Refused))
 	require.NoError(t, r.Answer(lifecycle.Failed))
 
-	for _, effect := range []logic.Idempotency{logic.Harmless, logic.Stamped} {
-		r = acceptedRequest(t, effect)
+	for _, idempotency := range []logic.Idempotency{logic.Harmless, logic.Stamped} {
+		r = acceptedRequest(t, idempotency)
 		sendAttempt(t, r)
 		r.FinishAttempt(true)
 		sendAttempt(t, r)
@@ -75,14 +77,14 @@
 	require.NoError(t, r.Answer(lifecycle.Refused), "no attempt can have run")
 }
 
-func TestOneAttemptIsOutAtATime(t *testing.T) {
+func TestOnlyOneAttemptAtATime(t *testing.T) {
 	r := acceptedRequest(t, logic.Harmless)
 	sendAttempt(t, r)
 	requireViolation(t, lifecycle.OneAttempt, r.StartAttempt(3))
 	requireViolation(t, lifecycle.OneAttempt, r.CheckSend(3, true))
 }
 
-func TestNothingIsSentLateOrForNobody(t *testing.T) {
+func TestNothingIsSentAfterTheDeadlineOrWithoutAClient(t *testing.T) {
 	r := acceptedRequest(t, logic.Harmless)
 	requireViolation(t, lifecycle.BeforeDeadline, r.StartAttempt(deadline))
 	require.NoError(t, r.StartAttempt(deadline-1))
@@ -92,9 +94,9 @@
 	requireViolation(t, lifecycle.BeforeDeadline, r.CheckSend(5, true))
 }
 
-func TestWhatWasReadIsNotClosedInSilence(t *testing.T) {
+func TestRequestThatWasReadIsNotClosedWithoutAnswer(t *testing.T) {
 	r := &lifecycle.Request{}
-	require.NoError(t, r.Close(), "nothing has come")
+	require.NoError(t, r.Close(), "nothing has been read")
 	r.SetPartialLine(true)
 	requireViolation(t, lifecycle.NoSilentClose, r.Close())
 	require.NoError(t, r.Accept(logic.Harmless, deadline))
@@ -105,8 +107,9 @@
 	require.NoError(t, r.Close())
 }
 
-// Whatever order the calls come in: one answer at most, and a once-only request never starts anew once one may have run.
-func TestNoOrderOfCallsBreaksARule(t *testing.T) {
+// Tries all sequences of six calls: there must be at most one answer, and no attempt of a one-shot request after one that
+// may have run.
+func TestNoSequenceOfCallsBreaksARule(t *testing.T) {
 	calls := []func(*lifecycle.Request) (answered, started, ran bool){
 		func(r *lifecycle.Request) (bool, bool, bool) { return false, r.StartAttempt(1) == nil, false },
 		func(r *lifecycle.Request) (bool, bool, bool) {
@@ -116,9 +119,9 @@
 			return false, false, false
 		},
 		func(r *lifecycle.Request) (bool, bool, bool) {
-			out := r.State() == lifecycle.Attempting
+			attempting := r.State() == lifecycle.Attempting
 			r.FinishAttempt(true)
-			return false, false, out
+			return false, false, attempting
 		},
 		func(r *lifecycle.Request) (bool, bool, bool) { return r.Establish() == nil, false, false },
 		func(r *lifecycle.Request) (bool, bool, bool) { return r.Answer(lifecycle.Refused) == nil, false, false },
@@ -126,26 +129,26 @@
 		func(r *lifecycle.Request) (bool, bool, bool) { r.End(); return false, false, false },
 	}
 	const depth = 6
-	order := make([]int, depth)
+	sequence := make([]int, depth)
 	for {
 		r := acceptedRequest(t, logic.OneShot)
-		answers, hadRun := 0, false
-		for _, n := range order {
+		answers, mayHaveRun := 0, false
+		for _, n := range sequence {
 			answered, started, ran := calls[n](r)
 			if answered {
 				answers++
 			}
-			require.False(t, started && hadRun, "%v", order)
-			hadRun = hadRun || ran
+			require.False(t, started && mayHaveRun, "%v", sequence)
+			mayHaveRun = mayHaveRun || ran
 		}
-		require.LessOrEqual(t, answers, 1, "%v", order)
-		at := 0
-		for ; at < depth && order[at] == len(calls)-1; at++ {
-			order[at] = 0
+		require.LessOrEqual(t, answers, 1, "%v", sequence)
+		place := 0
+		for ; place < depth && sequence[place] == len(calls)-1; place++ {
+			sequence[place] = 0
 		}
-		if at == depth {
+		if place == depth {
 			return
 		}
-		order[at]++
+		sequence[place]++
 	}
 }
