--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost runs the decisions on the simulator's wire: batches on standard input, replies on standard
-// output, until the input ends.
+// Command simhost runs the balancer for the simulator. It reads batches in the simulator's binary protocol from standard
+// input and writes the replies to standard output, until the input ends.
 package main
 
 import (
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,5 +1,5 @@
-// Package host keeps many instances of the decisions: their attachments in hand, their timers and the calls
-// between them and a line. It decides nothing.
+// Package host runs one or more balancer instances. It keeps the attachments and timers of each instance, passes events to
+// its balancer and carries out the balancer's decisions through an Executor. It makes no decisions itself.
 package host
 
 import (
@@ -9,58 +9,58 @@
 	"hatchproxy/logic"
 )
 
-// InstanceID is the number of an instance on the line.
+// InstanceID identifies an instance towards the Executor.
 type InstanceID uint32
 
-// Executor carries what the selected instance wants done.
+// Executor carries out the actions of instances. SelectInstance names the instance that the following calls are for.
 type Executor interface {
 	SelectInstance(InstanceID)
-	Send(logic.AttachmentID, logic.ServerID, logic.Micros)
-	PushBack(logic.AttachmentID, logic.Micros)
-	GiveUp(logic.AttachmentID)
-	Move(logic.AttachmentID)
-	Probe(logic.ServerID)
-	Subscribe()
-	WakeAt(at logic.Micros)
-	Log(words string)
+	Send(logic.AttachmentID, logic.ServerID, logic.Micros) // dispatch it to a server, with a timeout
+	PushBack(logic.AttachmentID, logic.Micros)             // tell the client to retry after this time
+	GiveUp(logic.AttachmentID)                             // tell the client that it failed
+	Move(logic.AttachmentID)                               // end the connection gracefully, so that the client connects anew
+	Probe(logic.ServerID)                                  // send a server a probe
+	Subscribe()                                            // subscribe to the server list
+	WakeAt(at logic.Micros)                                // call Instance.RunDue at this time
+	Log(message string)
 }
 
-// Host is the set of instances behind one line.
+// Host is a set of instances that share one Executor.
 type Host struct {
 	executor  Executor
 	now       logic.Micros
 	instances map[InstanceID]*Instance
 }
 
-// New makes a host without instances.
-func New(line Executor) *Host {
-	return &Host{executor: line, instances: map[InstanceID]*Instance{}}
+// New returns a Host without instances.
+func New(executor Executor) *Host {
+	return &Host{executor: executor, instances: map[InstanceID]*Instance{}}
 }
 
-// Instance is one proxy's decisions with the attachments it has in hand.
+// Instance is the balancer of one proxy with the attachments that it is responsible for.
 type Instance struct {
 	*logic.Balancer
 	executor    Executor
 	id          InstanceID
 	attachments map[logic.AttachmentID]*logic.Attachment
-	waiting     waitQueue
-	nextWake    logic.Micros // the earliest one that is still to come; 0 if none
+	waiting     waitQueue    // attachments for which a server is to be chosen later
+	nextWake    logic.Micros // the next time at which RunDue has been asked for; 0 before the first
 }
 
-// SetTime sets the clock for the calls that follow.
+// SetTime sets the current time.
 func (h *Host) SetTime(now logic.Micros) { h.now = now }
 
-// Open starts an instance.
+// Open adds an instance and returns it.
 func (h *Host) Open(id InstanceID, b *logic.Balancer) *Instance {
 	in := &Instance{Balancer: b, executor: h.executor, id: id, attachments: map[logic.AttachmentID]*logic.Attachment{}}
 	h.instances[id] = in
 	return in
 }
 
-// Remove drops an instance with all that it held.
+// Remove drops an instance with all its attachments.
 func (h *Host) Remove(id InstanceID) { delete(h.instances, id) }
 
-// Instance finds a running instance.
+// Instance returns an open instance, or an error if there is none with this id.
 func (h *Host) Instance(id InstanceID) (*Instance, error) {
 	if in := h.instances[id]; in != nil {
 		return in, nil
@@ -68,47 +68,48 @@
 	return nil, fmt.Errorf("instance %d is not open", id)
 }
 
-// Arrived takes an attachment in hand and asks where to send it.
+// Arrived adds an attachment and has a server chosen for it.
 func (in *Instance) Arrived(now logic.Micros, a *logic.Attachment) {
 	in.attachments[a.ID] = a
 	in.applyDecision(now, a, in.ChooseServer(now, a))
 }
 
-// ConnectionResumed takes a connection in hand that stood before the instance did.
+// ConnectionResumed adds an attachment whose connection was established before the instance was opened.
 func (in *Instance) ConnectionResumed(now logic.Micros, a *logic.Attachment, server logic.ServerID) {
 	in.attachments[a.ID] = a
 	in.RecordRestored(now, a, server)
 }
 
-// ConnectionEstablished passes on that a connection stands.
+// ConnectionEstablished records that the connection of an attachment is established.
 func (in *Instance) ConnectionEstablished(now logic.Micros, id logic.AttachmentID) {
 	if a := in.attachments[id]; a != nil {
 		in.RecordEstablished(now, a)
 	}
 }
 
-// DispatchEnded passes on how a dispatch ended; over says that the attachment has its final answer.
-func (in *Instance) DispatchEnded(now logic.Micros, id logic.AttachmentID, o logic.Outcome, over bool) {
+// DispatchEnded records the outcome of a dispatch. final says that the attachment has its final answer; otherwise the
+// balancer decides what to do next.
+func (in *Instance) DispatchEnded(now logic.Micros, id logic.AttachmentID, outcome logic.Outcome, final bool) {
 	a := in.attachments[id]
 	if a == nil {
 		return
 	}
-	ans := in.RecordOutcome(now, a, o, over)
-	if over {
+	decision := in.RecordOutcome(now, a, outcome, final)
+	if final {
 		delete(in.attachments, id)
 		return
 	}
-	in.applyDecision(now, a, ans)
+	in.applyDecision(now, a, decision)
 }
 
-// LoadChanged passes on a connection's load.
-func (in *Instance) LoadChanged(now logic.Micros, id logic.AttachmentID, level float64) {
+// LoadChanged records the load of a connection.
+func (in *Instance) LoadChanged(now logic.Micros, id logic.AttachmentID, load float64) {
 	if a := in.attachments[id]; a != nil {
-		in.RecordLoad(now, a, level)
+		in.RecordLoad(now, a, load)
 	}
 }
 
-// ClientLeft passes on that a client is gone; a dispatch still out keeps its attachment until its outcome.
+// ClientLeft records that a client has left. An attachment with a dispatch in progress is kept until its outcome.
 func (in *Instance) ClientLeft(now logic.Micros, id logic.AttachmentID) {
 	a := in.attachments[id]
 	if a == nil {
@@ -120,14 +121,15 @@
 	}
 }
 
-func (in *Instance) applyDecision(now logic.Micros, a *logic.Attachment, ans logic.Decision) {
-	switch ans.Action {
+// applyDecision carries out a decision of the balancer on an attachment.
+func (in *Instance) applyDecision(now logic.Micros, a *logic.Attachment, decision logic.Decision) {
+	switch decision.Action {
 	case logic.Send:
-		in.output().Send(a.ID, ans.Server, ans.Duration)
+		in.output().Send(a.ID, decision.Server, decision.Duration)
 	case logic.Hold:
-		heap.Push(&in.waiting, waitEntry{now + ans.Duration, a.ID})
+		heap.Push(&in.waiting, waitEntry{now + decision.Duration, a.ID})
 	case logic.PushBack:
-		in.output().PushBack(a.ID, ans.Duration)
+		in.output().PushBack(a.ID, decision.Duration)
 		delete(in.attachments, a.ID)
 	case logic.GiveUp:
 		in.output().GiveUp(a.ID)
@@ -135,23 +137,24 @@
 	}
 }
 
+// output returns the executor, with this instance selected.
 func (in *Instance) output() Executor {
 	in.executor.SelectInstance(in.id)
 	return in.executor
 }
 
-// RunDue asks again for the attachments whose time has come, runs the errands that are due and sees to it
-// that a reminder comes in time.
+// RunDue has servers chosen for the attachments whose wait is over, runs the balancer's jobs that are due, and asks the
+// executor to be called again when something else is due.
 func (in *Instance) RunDue(now logic.Micros) {
 	for len(in.waiting) > 0 && in.waiting[0].at <= now {
-		held := heap.Pop(&in.waiting).(waitEntry)
-		if a := in.attachments[held.id]; a != nil {
+		due := heap.Pop(&in.waiting).(waitEntry)
+		if a := in.attachments[due.id]; a != nil {
 			in.applyDecision(now, a, in.ChooseServer(now, a))
 		}
 	}
-	wait, errands := in.Tick(now)
-	for _, e := range errands {
-		in.runJob(e)
+	wait, jobs := in.Tick(now)
+	for _, job := range jobs {
+		in.runJob(job)
 	}
 	next := now + wait
 	if len(in.waiting) > 0 {
@@ -163,37 +166,39 @@
 	}
 }
 
-func (in *Instance) runJob(e logic.Job) {
-	line := in.output()
-	switch e.Kind {
+// runJob carries out a job of the balancer.
+func (in *Instance) runJob(job logic.Job) {
+	executor := in.output()
+	switch job.Kind {
 	case logic.Subscribe:
-		line.Subscribe()
+		executor.Subscribe()
 	case logic.Move:
-		line.Move(e.Attachment)
+		executor.Move(job.Attachment)
 	case logic.Probe:
-		line.Probe(e.Server)
+		executor.Probe(job.Server)
 	case logic.Log:
-		line.Log(e.Message)
+		executor.Log(job.Message)
 	}
 }
 
-// waitQueue holds the attachments that wait, soonest first; the id settles ties.
+// waitQueue is a heap of waiting attachments by time, and by id for the same time.
 type waitQueue []waitEntry
 
+// waitEntry is an attachment with the time until which it waits.
 type waitEntry struct {
 	at logic.Micros
 	id logic.AttachmentID
 }
 
-func (d waitQueue) Len() int { return len(d) }
-func (d waitQueue) Less(i, j int) bool {
-	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].id < d[j].id
+func (q waitQueue) Len() int { return len(q) }
+func (q waitQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].id < q[j].id
 }
-func (d waitQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *waitQueue) Push(x any)   { *d = append(*d, x.(waitEntry)) }
-func (d *waitQueue) Pop() any {
-	last := len(*d) - 1
-	x := (*d)[last]
-	*d = (*d)[:last]
+func (q waitQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *waitQueue) Push(x any)   { *q = append(*q, x.(waitEntry)) }
+func (q *waitQueue) Pop() any {
+	last := len(*q) - 1
+	x := (*q)[last]
+	*q = (*q)[:last]
 	return x
 }
--- a/internal/wire/reply_test.go
+++ b/internal/wire/reply_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The records as the wire's page shows them, or as its tables lay them out.
-func TestActionsStandAsTheWireLaysThemOut(t *testing.T) {
+// Compares the encoded records with those of the protocol's specification.
+func TestActionsAreEncodedAsSpecified(t *testing.T) {
 	r := &Reply{}
 	r.reset()
 	r.SelectInstance(3)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads the simulator's batches, passes each decoded field into a call of the host, and writes
-// the replies. The wire's names end here.
+// Package wire implements the binary protocol of the simulator: it reads batches of events, passes the decoded events to
+// the host, and writes the replies with the resulting actions. No other package knows this protocol.
 package wire
 
 import (
@@ -15,38 +15,41 @@
 	"hatchproxy/logic"
 )
 
+// Sizes and limits of the binary format, in bytes where nothing else is said.
 const (
 	batchHeaderSize = 20
 	eventSize       = 56
 	entrySize       = 23
-	// reportValues is how many values a load report has room for.
+	// reportValues is the number of values that a load report has space for.
 	reportValues = 4
-	// maxFrameSize is far above the megabytes a batch may reach; a longer one is taken for garbage.
+	// maxFrameSize is far above the few megabytes of the largest batches; a longer frame is invalid.
 	maxFrameSize = 1 << 30
 )
 
+// outcomeByCode maps the codes of the protocol to outcomes.
 var outcomeByCode = [...]logic.Outcome{
 	logic.Failure, logic.OK, logic.Full, logic.TimedOut,
 	logic.NoConnection, logic.Reset, logic.Cancelled, logic.NotSent,
 }
 
+// stateByCode maps the codes of the protocol to server states.
 var stateByCode = [...]logic.State{1: logic.Gone, 2: logic.Ready, 3: logic.Draining}
 
-// maxClock guards against a clock that is no number or does not fit.
+// maxClock is the limit of the clock, in milliseconds. It keeps out clocks that are not a number or overflow Micros.
 const maxClock = 1e15
 
-// frame is one batch as it came in, with a place to note the first impossible field.
+// frame is one batch as it was read.
 type frame struct {
-	records, tail []byte
+	records, tail []byte // event records, and the data that they refer to
 	now           logic.Micros
 	batch         uint32
 }
 
-// Serve answers batches until the input ends.
+// Serve answers batches until the input ends. It returns an error if the input is invalid, or reading or writing fails.
 func Serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
 	reply := &Reply{}
-	d := &session{host: host.New(reply), reply: reply, fillIndex: map[host.InstanceID]int{}}
+	s := &session{host: host.New(reply), reply: reply, utilizationIndex: map[host.InstanceID]int{}}
 	var buf []byte
 	for {
 		f, err := readFrame(r, &buf)
@@ -57,7 +60,7 @@
 			return err
 		}
 		reply.reset()
-		if err := d.handleBatch(f); err != nil {
+		if err := s.handleBatch(f); err != nil {
 			return fmt.Errorf("batch %d: %w", f.batch, err)
 		}
 		if _, err := w.Write(reply.finish(f.batch)); err != nil {
@@ -69,7 +72,8 @@
 	}
 }
 
-// readFrame takes one frame off the line; io.EOF only where no byte of a further one has come.
+// readFrame reads one frame. It returns io.EOF only if the input ends before the first byte of a frame. The frame uses buf
+// until the next call.
 func readFrame(r io.Reader, buf *[]byte) (frame, error) {
 	var head [batchHeaderSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -99,122 +103,125 @@
 	return frame{body[:records], body[records:], platformconfig.MillisToMicros(clock), get.Uint32(head[16:])}, nil
 }
 
-// session passes the events of a batch to the selected instance.
+// session handles the batches of one input.
 type session struct {
 	host             *host.Host
 	reply            *Reply
-	selected         host.InstanceID
-	fillIndex        map[host.InstanceID]int // where in a load report the fill stands
-	instanceSelected bool
-	instance         *host.Instance
+	selected         host.InstanceID         // the instance that events are for
+	utilizationIndex map[host.InstanceID]int // by instance: the index of the utilization in load reports; -1 if they don't have it
+	instanceSelected bool                    // this batch has selected an instance
+	instance         *host.Instance          // the selected one; nil if it is not open
 }
 
-// handleBatch runs one batch. A panic in the decisions becomes the wire's word for it.
-func (d *session) handleBatch(f frame) (err error) {
+// handleBatch handles the events of one batch. A panic is reported to the simulator as the failure of the instance.
+func (s *session) handleBatch(f frame) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			d.reply.fail(d.selected, fmt.Sprint(cause))
+			s.reply.fail(s.selected, fmt.Sprint(cause))
 			err = nil
 		}
 	}()
-	d.instanceSelected, d.instance = false, nil
+	s.instanceSelected, s.instance = false, nil
 	for i := 0; i < len(f.records); i += eventSize {
-		if err := d.handleEvent(f, f.records[i:i+eventSize]); err != nil {
+		if err := s.handleEvent(f, f.records[i:i+eventSize]); err != nil {
 			return fmt.Errorf("record %d: %w", i/eventSize, err)
 		}
 	}
-	d.runDue(f.now)
+	s.runDue(f.now)
 	return nil
 }
 
-func (d *session) runDue(now logic.Micros) {
-	if d.instance != nil {
-		d.instance.RunDue(now)
+// runDue has the selected instance do what is due.
+func (s *session) runDue(now logic.Micros) {
+	if s.instance != nil {
+		s.instance.RunDue(now)
 	}
 }
 
-func (d *session) handleEvent(f frame, rec []byte) error {
-	at := record(rec)
-	switch code := rec[0]; code {
-	case 1:
-		d.runDue(f.now)
-		d.selected, d.instanceSelected = host.InstanceID(at.u32(1)), true
-		d.instance, _ = d.host.Instance(d.selected) // none yet if it opens within this batch
+// handleEvent handles one event record, whose first byte is the event code.
+func (s *session) handleEvent(f frame, eventRecord []byte) error {
+	fields := record(eventRecord)
+	switch code := eventRecord[0]; code {
+	case 1: // select an instance
+		s.runDue(f.now)
+		s.selected, s.instanceSelected = host.InstanceID(fields.u32(1)), true
+		s.instance, _ = s.host.Instance(s.selected) // nil if it is opened later in this batch
 		return nil
-	case 11:
-		return d.openInstance(f, at)
-	case 8:
-		d.host.Remove(d.selected)
-		d.instance = nil
+	case 11: // open it
+		return s.openInstance(f, fields)
+	case 8: // kill it
+		s.host.Remove(s.selected)
+		s.instance = nil
 		return nil
 	default:
-		if d.instance == nil {
-			return fmt.Errorf("event %d for instance %d, which is not open", code, d.selected)
+		if s.instance == nil {
+			return fmt.Errorf("event %d for instance %d, which is not open", code, s.selected)
 		}
-		return d.handleInstanceEvent(f, at, code)
+		return s.handleInstanceEvent(f, fields, code)
 	}
 }
 
-func (d *session) openInstance(f frame, at record) error {
-	if !d.instanceSelected {
+// openInstance opens the selected instance with the settings in the tail.
+func (s *session) openInstance(f frame, fields record) error {
+	if !s.instanceSelected {
 		return errors.New("an instance opens before one was selected")
 	}
-	text, err := f.tailSlice(at, 9, 1)
+	text, err := f.tailSlice(fields, 9, 1)
 	if err != nil {
 		return err
 	}
-	book := platformconfig.SettingsFromLines(string(text))
-	b, err := book.NewBalancer(at.u64(1))
+	settings := platformconfig.SettingsFromLines(string(text))
+	balancer, err := settings.NewBalancer(fields.u64(1))
 	if err != nil {
-		return fmt.Errorf("opening instance %d: %w", d.selected, err)
+		return fmt.Errorf("opening instance %d: %w", s.selected, err)
 	}
-	if d.fillIndex[d.selected] = book.LoadRatioIndex(); d.fillIndex[d.selected] >= 0 {
-		b.EnableUtilizationProbes()
+	if s.utilizationIndex[s.selected] = settings.LoadRatioIndex(); s.utilizationIndex[s.selected] >= 0 {
+		balancer.EnableUtilizationProbes()
 	}
-	d.instance = d.host.Open(d.selected, b)
+	s.instance = s.host.Open(s.selected, balancer)
 	return nil
 }
 
-// handleInstanceEvent passes an event of a running instance on.
-func (d *session) handleInstanceEvent(f frame, at record, code byte) error {
-	in, now := d.instance, f.now
+// handleInstanceEvent passes an event to the selected instance.
+func (s *session) handleInstanceEvent(f frame, fields record, code byte) error {
+	in, now := s.instance, f.now
 	switch code {
-	case 2, 5: // nothing is asked of peers, and a reminder only wakes
-	case 12:
-		in.RecordProbe(now, at.server(1), at.micros(7))
-		if place := d.fillIndex[d.selected]; place >= 0 && place < min(int(at[15]), reportValues) {
-			in.RecordUtilization(now, at.server(1), float64(math.Float32frombits(at.u32(16+4*place))))
+	case 2, 5: // messages of other instances aren't used, and a reminder needs no handling: what is due is done after each batch
+	case 12: // answer to a probe
+		in.RecordProbe(now, fields.server(1), fields.micros(7))
+		if index := s.utilizationIndex[s.selected]; index >= 0 && index < min(int(fields[15]), reportValues) {
+			in.RecordUtilization(now, fields.server(1), float64(math.Float32frombits(fields.u32(16+4*index))))
 		}
-	case 3:
-		o, err := at.outcome(15)
+	case 3: // a dispatch ended
+		outcome, err := fields.outcome(15)
 		if err != nil {
 			return err
 		}
-		in.DispatchEnded(now, at.attachment(1), o, at[10] != 0)
-	case 4:
-		a := at.newAttachment(now, at[9], 20, 44, 28)
-		a.Key, a.Group = logic.ClientKey(at.u64(12)), logic.GroupID(at.u64(36))
-		if err := d.checkProduct(a); err != nil {
+		in.DispatchEnded(now, fields.attachment(1), outcome, fields[10] != 0)
+	case 4: // a connection that was established before the instance was opened
+		a := fields.newAttachment(now, fields[9], 20, 44, 28)
+		a.Key, a.Group = logic.ClientKey(fields.u64(12)), logic.GroupID(fields.u64(36))
+		if err := s.checkProduct(a); err != nil {
 			return err
 		}
-		in.ConnectionResumed(now, a, at.server(46))
-	case 6:
-		return d.handleList(f, at)
-	case 7:
-		in.ConnectionEstablished(now, at.attachment(1))
-	case 9:
-		in.ClientLeft(now, at.attachment(1))
-	case 10:
-		level := float64(math.Float32frombits(at.u32(15)))
-		if at[14] == 1 {
-			in.LoadChanged(now, at.attachment(1), level)
-		} else if at[14] == 2 {
-			in.RecordDelay(now, at.server(10), platformconfig.MillisToMicros(level))
+		in.ConnectionResumed(now, a, fields.server(46))
+	case 6: // server list
+		return s.handleList(f, fields)
+	case 7: // a connection is established
+		in.ConnectionEstablished(now, fields.attachment(1))
+	case 9: // a client left
+		in.ClientLeft(now, fields.attachment(1))
+	case 10: // load of a connection, or message delay of a server
+		value := float64(math.Float32frombits(fields.u32(15)))
+		if fields[14] == 1 {
+			in.LoadChanged(now, fields.attachment(1), value)
+		} else if fields[14] == 2 {
+			in.RecordDelay(now, fields.server(10), platformconfig.MillisToMicros(value))
 		}
-	case 13:
-		a := at.newAttachment(now, at[9], 10, 28, 38)
-		a.Key, a.Group = logic.ClientKey(at.u64(20)), logic.GroupID(at.u64(30))
-		if err := d.checkProduct(a); err != nil {
+	case 13: // an attachment arrived
+		a := fields.newAttachment(now, fields[9], 10, 28, 38)
+		a.Key, a.Group = logic.ClientKey(fields.u64(20)), logic.GroupID(fields.u64(30))
+		if err := s.checkProduct(a); err != nil {
 			return err
 		}
 		in.Arrived(now, a)
@@ -224,54 +231,56 @@
 	return nil
 }
 
-// checkProduct guards against a product that the opening did not name.
-func (d *session) checkProduct(a *logic.Attachment) error {
-	if !d.instance.HasProduct(a.Product) {
+// checkProduct returns an error if the settings of the instance don't have the product of the attachment.
+func (s *session) checkProduct(a *logic.Attachment) error {
+	if !s.instance.HasProduct(a.Product) {
 		return fmt.Errorf("product %d is unknown", a.Product)
 	}
 	return nil
 }
 
-func (d *session) handleList(f frame, at record) error {
-	entries, err := f.tailSlice(at, 6, entrySize)
+// handleList passes a full server list, or a change of it, to the selected instance.
+func (s *session) handleList(f frame, fields record) error {
+	entries, err := f.tailSlice(fields, 6, entrySize)
 	if err != nil {
 		return err
 	}
-	in, scope := d.instance, at[1]
+	in, scope := s.instance, fields[1]
 	switch scope {
-	case 4:
+	case 4: // the request failed
 		in.ListRequestFailed(f.now)
 		return nil
-	case 0, 1:
+	case 0, 1: // a full list, fresh or cached
 		in.BeginFullList(f.now)
-	case 3:
+	case 3: // a change
 	default:
 		return fmt.Errorf("list scope %d is unknown", scope)
 	}
 	for ; len(entries) > 0; entries = entries[entrySize:] {
-		e := record(entries)
-		state := int(e[10])
+		entry := record(entries)
+		state := int(entry[10])
 		if state < 1 || state >= len(stateByCode) {
 			return fmt.Errorf("server state %d is unknown", state)
 		}
-		weight := float64(math.Float32frombits(e.u32(11)))
-		in.UpdateServer(f.now, e.server(0), logic.ZoneID(e.u16(4)), logic.ModelID(e.u16(6)), logic.CellID(e.u16(8)),
-			stateByCode[state], weight, e.micros(15))
+		weight := float64(math.Float32frombits(entry.u32(11)))
+		in.UpdateServer(f.now, entry.server(0), logic.ZoneID(entry.u16(4)), logic.ModelID(entry.u16(6)), logic.CellID(entry.u16(8)),
+			stateByCode[state], weight, entry.micros(15))
 	}
 	in.EndList(f.now, scope == 1)
 	return nil
 }
 
-// tailSlice finds what a field says lies in the tail: so many items of so many bytes.
-func (f frame) tailSlice(at record, offset, size int) ([]byte, error) {
-	start, length := uint64(at.u32(offset)), uint64(at.u32(offset+4))*uint64(size)
+// tailSlice returns the part of the tail that two fields of a record refer to: the field at offset holds its start, and the
+// next one the number of items of size bytes.
+func (f frame) tailSlice(fields record, offset, size int) ([]byte, error) {
+	start, length := uint64(fields.u32(offset)), uint64(fields.u32(offset+4))*uint64(size)
 	if start+length > uint64(len(f.tail)) {
 		return nil, fmt.Errorf("a field points %d bytes past the tail", start+length-uint64(len(f.tail)))
 	}
 	return f.tail[start : start+length], nil
 }
 
-// record reads the fields of one record by their offsets.
+// record gives access to the fields of an event record or list entry by their offsets.
 type record []byte
 
 func (r record) u16(at int) uint16 { return binary.BigEndian.Uint16(r[at:]) }
@@ -291,13 +300,14 @@
 	return outcomeByCode[code], nil
 }
 
-// newAttachment reads what arrivals and carried connections share.
-func (r record) newAttachment(now logic.Micros, product byte, left, bits, hint int) *logic.Attachment {
+// newAttachment decodes the fields that arrivals and resumed connections have in common. timeLeft, flags and hint are the
+// offsets of the time until the hard limit, the flags and the load hint.
+func (r record) newAttachment(now logic.Micros, product byte, timeLeft, flags, hint int) *logic.Attachment {
 	a := &logic.Attachment{ID: r.attachment(1), Product: logic.ProductID(product), ArrivedAt: now}
-	a.HardLimit = now + r.micros(left)
-	a.MidFlow = r.u16(bits)&8 != 0
-	a.Returning = r.u16(bits)&16 != 0
-	if r.u16(bits)&1 != 0 {
+	a.HardLimit = now + r.micros(timeLeft)
+	a.MidFlow = r.u16(flags)&8 != 0
+	a.Returning = r.u16(flags)&16 != 0
+	if r.u16(flags)&1 != 0 {
 		a.LoadHint = 1000 * r.float(hint)
 	}
 	return a
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,8 @@
 	"hatchproxy/internal/wire"
 )
 
-const opening = `my-number=0
+// settings are those that the instances are opened with.
+const settings = `my-number=0
 zone=0
 weight-kind=nominal
 membership-mode=automatic
@@ -24,7 +25,7 @@
 a-key-of-later-days=1
 `
 
-// frame builds one batch of records; each is cut or filled to the size of an event.
+// frame encodes one batch. Each record is padded to the size of an event.
 func frame(batch uint32, clock float64, tail string, records ...[]byte) []byte {
 	var b []byte
 	b = binary.BigEndian.AppendUint32(b, uint32(len(records)))
@@ -37,36 +38,38 @@
 	return append(b, tail...)
 }
 
+// newRecord encodes an event code and its fields.
 func newRecord(code byte, fields ...any) []byte {
 	b := bytes.NewBuffer([]byte{code})
 	for _, f := range fields {
-		_ = binary.Write(b, binary.BigEndian, f) // a buffer takes all
+		_ = binary.Write(b, binary.BigEndian, f) // writing to a buffer never fails
 	}
 	return b.Bytes()
 }
 
-// listEntry is one ready server of the list.
+// listEntry encodes a list entry of a ready server.
 func listEntry(id uint32) string {
 	return string(newRecord(0, id, uint16(0), uint16(0), uint16(0), byte(2), float32(1), float64(0))[1:])
 }
 
-// startBatch opens instance 4 with two servers and lets one attachment arrive there.
+// startBatch encodes a batch that opens instance 4 with two servers, where one attachment arrives.
 func startBatch() []byte {
-	tail := opening + listEntry(8) + listEntry(9)
-	at := uint32(len(opening))
+	tail := settings + listEntry(8) + listEntry(9)
+	listOffset := uint32(len(settings))
 	return frame(1, 1000, tail, newRecord(1, uint32(4)),
-		newRecord(11, uint64(7), uint32(0), at),
-		newRecord(6, byte(1), uint32(0), at, uint32(2)),
+		newRecord(11, uint64(7), uint32(0), listOffset),
+		newRecord(6, byte(1), uint32(0), listOffset, uint32(2)),
 		newRecord(13, uint64(77), byte(0), float64(2000)))
 }
 
+// serve returns the replies to a sequence of batches.
 func serve(in []byte) ([]byte, error) {
 	var out bytes.Buffer
 	err := wire.Serve(bytes.NewReader(in), &out)
 	return out.Bytes(), err
 }
 
-// actionCodes lists the codes of the first reply.
+// actionCodes returns the codes of the actions of the first reply.
 func actionCodes(reply []byte) []byte {
 	var codes []byte
 	for i := range binary.BigEndian.Uint32(reply[4:]) {
@@ -75,11 +78,11 @@
 	return codes
 }
 
-func TestAnArrivalIsHandedOff(t *testing.T) {
+func TestAttachmentIsDispatchedOnArrival(t *testing.T) {
 	out, err := serve(startBatch())
 	require.NoError(t, err)
 	require.Equal(t, uint32(len(out)), binary.BigEndian.Uint32(out))
-	require.Equal(t, []byte{65, 71, 69}, actionCodes(out), "speaking, hand_off, schedule")
+	require.Equal(t, []byte{65, 71, 69}, actionCodes(out), "select instance, dispatch, wake")
 	require.Equal(t, uint64(77), binary.BigEndian.Uint64(out[12+24+1:]))
 	require.Contains(t, []uint32{8, 9}, binary.BigEndian.Uint32(out[12+24+17:]))
 }
@@ -90,18 +93,18 @@
 	require.Equal(t, []byte{0, 0, 0, 12, 0, 0, 0, 0, 0, 0, 0, 5}, out)
 }
 
-func TestAnInstanceMayDieAndOpenInOneBatch(t *testing.T) {
-	again := frame(2, 1002, opening, newRecord(1, uint32(4)), newRecord(8), newRecord(11, uint64(8), uint32(0), uint32(len(opening))),
+func TestInstanceMayBeKilledAndOpenedInOneBatch(t *testing.T) {
+	again := frame(2, 1002, settings, newRecord(1, uint32(4)), newRecord(8), newRecord(11, uint64(8), uint32(0), uint32(len(settings))),
 		newRecord(3, uint64(77), byte(0), byte(0), uint32(8), uint16(1)))
 	_, err := serve(append(startBatch(), again...))
-	require.NoError(t, err, "what is told of a dropped attachment is ignored")
+	require.NoError(t, err, "events of a dropped attachment are ignored")
 }
 
-func TestGarbageIsRefusedInPlainWords(t *testing.T) {
+func TestInvalidInputIsRejectedWithAClearError(t *testing.T) {
 	whole := startBatch()
 	badOutcome := frame(2, 1002, "", newRecord(1, uint32(4)),
 		newRecord(3, uint64(77), byte(0), byte(0), uint32(8), uint16(99)))
-	for name, in := range map[string][]byte{
+	for message, input := range map[string][]byte{
 		"ends within a header":         whole[:7],
 		"ends within a frame":          whole[:len(whole)-3],
 		"cannot hold":                  frame(1, 1, "")[:8],
@@ -114,25 +117,25 @@
 		"product 3 is unknown":         append(startBatch(), frame(2, 1, "", newRecord(1, uint32(4)), newRecord(13, uint64(1), byte(3)))...),
 		"products.count: strconv.Pars": frame(1, 1, "products.count=x", newRecord(1, uint32(4)), newRecord(11, uint64(1), uint32(0), uint32(16))),
 	} {
-		if name == "cannot hold" {
-			in = append([]byte{0, 0, 0, 9, 0, 0, 0, 20}, make([]byte, 12)...)
+		if message == "cannot hold" {
+			input = append([]byte{0, 0, 0, 9, 0, 0, 0, 20}, make([]byte, 12)...)
 		}
-		_, err := serve(in)
-		require.ErrorContains(t, err, name)
+		_, err := serve(input)
+		require.ErrorContains(t, err, message)
 	}
 }
 
-// The report that comes with a probe's answer reaches the decisions: the emptier of two is sent to.
-func TestReportsOfProbesArePassedOn(t *testing.T) {
-	conf := opening + "limits.probes=true\nreport.how=on_probe\nreport.fields=rif,x0\n"
-	tail := conf + listEntry(7) + listEntry(8) + listEntry(9)
-	at := uint32(len(conf))
-	in := frame(1, 1000, tail, newRecord(1, uint32(4)), newRecord(11, uint64(7), uint32(0), at), newRecord(6, byte(1), uint32(0), at, uint32(3)))
+// The utilization that comes with the answer to a probe must reach the balancer: it dispatches to the least utilized server.
+func TestUtilizationOfProbeAnswersIsUsed(t *testing.T) {
+	probeSettings := settings + "limits.probes=true\nreport.how=on_probe\nreport.fields=rif,x0\n"
+	tail := probeSettings + listEntry(7) + listEntry(8) + listEntry(9)
+	listOffset := uint32(len(probeSettings))
+	in := frame(1, 1000, tail, newRecord(1, uint32(4)), newRecord(11, uint64(7), uint32(0), listOffset), newRecord(6, byte(1), uint32(0), listOffset, uint32(3)))
 	batch := uint32(2)
 	for ; batch < 30; batch++ {
 		events := [][]byte{newRecord(1, uint32(4))}
-		for id, fill := range map[uint32]float32{7: 9, 8: 0.2, 9: 9} {
-			events = append(events, newRecord(12, id, uint16(1), float64(1), byte(2), float32(5), fill))
+		for id, utilization := range map[uint32]float32{7: 9, 8: 0.2, 9: 9} {
+			events = append(events, newRecord(12, id, uint16(1), float64(1), byte(2), float32(5), utilization))
 		}
 		in = append(in, frame(batch, 1000+float64(batch)*250, "", events...)...)
 	}
