--- a/internal/loadreports/loadreports.go
+++ b/internal/loadreports/loadreports.go
@@ -1,106 +1,112 @@
-// Package notes tells apart the two figures that a server sends in one form: a connection's load, when it
-// changes, and how long its messages take, once a second on one connection of each proxy while that is too
-// long and once more when it no longer is. It knows no socket and no clock.
+// Package loadreports classifies the values that servers report in lines of one form. Such a value is either the load of
+// the connection, sent when it changes, or a message delay: how long the server's messages take, sent once a second on one
+// connection of each proxy while that is too long, and once more when it no longer is. The package uses no socket and no
+// clock.
 package loadreports
 
 import "hatchproxy/logic"
 
-// Kind is what a figure is taken for.
+// Kind is the kind of a reported value.
 type Kind uint8
 
 const (
-	Load  Kind = iota // the connection's load now
-	Delay             // how long a message takes, in milliseconds
-	// DelayAndPrevious says that this figure is a delay, and that the one before on this connection was one, too, and no load.
+	Load  Kind = iota // the load of the connection
+	Delay             // the time that the server's messages take, in milliseconds
+	// DelayAndPrevious is a delay that shows that the value before it on this connection was a delay, too, and not a load.
 	DelayAndPrevious
 )
 
 const (
+	// delayInterval is the interval at which servers report delays.
 	delayInterval = logic.Second
-	// maxJitter is what a word may come too early or too late: on the bench a millisecond, more where a core is busy.
+	// maxJitter is how much too early or too late a delay may arrive, even where a core is busy.
 	maxJitter = 50 * logic.Millisecond
-	// initialLoadWindow is how soon after it stands a connection's load is told; 9 in 10 of the figures within it were loads.
+	// initialLoadWindow is the time after a connection is established in which its first load is reported: most values within
+	// it are loads.
 	initialLoadWindow = 100 * logic.Millisecond
-	// maxDelayMillis is more than any message takes that somebody still waits for; figures above it are loads.
+	// maxDelayMillis is more than any message takes that a client still waits for; values above it are loads.
 	maxDelayMillis = 10_000
-	// loadDropFactor is how far below the last load a figure lies that is rather no load: 9 in 10 of those were delays.
+	// loadDropFactor is how many times smaller than the last load a value must be to be a likely delay: most of these are.
 	loadDropFactor = 4
-	// maxConnsToGuess is up to how many connections here a first figure may be believed: delays come on one of them, small loads on
-	// all. Where proxies hold one or two each, 8 in 10 were delays; with tens a server believing them cost half the score.
+	// maxConnsToGuess is the number of connections to the server up to which a first small value may be taken for a delay.
+	// Delays come on one connection, small loads on all of them: with one or two connections most such values are delays,
+	// while with tens of them taking loads for delays severely degrades the balancing.
 	maxConnsToGuess = 3
 )
 
-// Conn is what a standing connection's figures have said.
+// Conn is what the values of one established connection have reported.
 type Conn struct {
-	EstablishedAt logic.Micros // when it came to stand
-	Load          float64      // as last told; 0 if it has not been
+	EstablishedAt logic.Micros // when the connection was established
+	Load          float64      // the last load; 0 if there was none
 
-	previousLoad float64 // the load told before that
-	loadAt       logic.Micros
+	previousLoad float64      // the load before that
+	loadAt       logic.Micros // when Load was reported
 }
 
-// Server follows what one server tells this proxy.
+// Server classifies the values that one server reports to this proxy.
 type Server struct {
-	lateMillis float64      // a message that takes so many milliseconds is late
-	delayConn  *Conn        // the connection on which delays come; nil if it has left
-	lastDelay  logic.Micros // when the last came; 0 if none is to be followed
-	confirmed  bool         // that it was one
+	lateMillis float64      // delays from this on are too long, in milliseconds
+	delayConn  *Conn        // the connection on which delays are reported; nil if it is closed
+	lastDelay  logic.Micros // when the last delay was reported; 0 if no further one is expected
+	confirmed  bool         // the last delay is certain to be one
 }
 
-// New follows a server whose messages are late from that time on.
+// New returns a Server for which delays from late on are too long.
 func New(late logic.Micros) Server {
 	return Server{lateMillis: float64(late) / float64(logic.Millisecond)}
 }
 
+// isNextInSeries reports whether a value at now follows one at last at the interval of delays.
 func isNextInSeries(now, last logic.Micros) bool {
 	return last > 0 && now-last > delayInterval-maxJitter && now-last < delayInterval+maxJitter
 }
 
-// Classify says what a figure means that came on one of so many connections that stand at the server. A first small one is
-// taken for a delay only where delays are known to be told. Guards against small loads that are taken for lateness
-// in a fleet whose settings promise delays and whose servers tell none.
-func (s *Server) Classify(now logic.Micros, c *Conn, standing int, told bool, figure float64) Kind {
-	if isNextInSeries(now, s.lastDelay) && (s.delayConn == c || s.delayConn == nil) && figure < maxDelayMillis {
+// Classify returns the kind of a value that was reported on one of conns connections to the server. A first small value is
+// taken for a delay only if delaysExpected: in a fleet whose settings promise delays that its servers do not report, small
+// loads would otherwise be taken for delays.
+func (s *Server) Classify(now logic.Micros, c *Conn, conns int, delaysExpected bool, value float64) Kind {
+	if isNextInSeries(now, s.lastDelay) && (s.delayConn == c || s.delayConn == nil) && value < maxDelayMillis {
 		s.delayConn, s.lastDelay, s.confirmed = c, now, true
-		if figure < s.lateMillis {
-			s.lastDelay = 0 // no more follow
+		if value < s.lateMillis {
+			s.lastDelay = 0 // the delay is back under the limit, and the series ends with it
 		}
 		return Delay
 	}
-	small := figure >= s.lateMillis && figure < maxDelayMillis
-	if small && c.Load >= s.lateMillis && c.Load < maxDelayMillis && isNextInSeries(now, c.loadAt) {
+	maybeDelay := value >= s.lateMillis && value < maxDelayMillis
+	if maybeDelay && c.Load >= s.lateMillis && c.Load < maxDelayMillis && isNextInSeries(now, c.loadAt) {
 		s.delayConn, s.lastDelay, s.confirmed = c, now, true
 		c.Load, c.loadAt = c.previousLoad, 0
 		return DelayAndPrevious
 	}
-	running := s.confirmed && s.lastDelay > 0 && now-s.lastDelay <= delayInterval+maxJitter
-	if told && small && !running && standing <= maxConnsToGuess && now-c.EstablishedAt > initialLoadWindow && (c.Load == 0 || figure < c.Load/loadDropFactor) {
+	inSeries := s.confirmed && s.lastDelay > 0 && now-s.lastDelay <= delayInterval+maxJitter
+	if delaysExpected && maybeDelay && !inSeries && conns <= maxConnsToGuess && now-c.EstablishedAt > initialLoadWindow && (c.Load == 0 || value < c.Load/loadDropFactor) {
 		s.delayConn, s.lastDelay, s.confirmed = c, now, false
 		return Delay
 	}
-	c.setLoad(now, figure)
+	c.setLoad(now, value)
 	return Load
 }
 
+// setLoad records a reported load.
 func (c *Conn) setLoad(now logic.Micros, load float64) {
 	c.previousLoad, c.Load, c.loadAt = c.Load, load, now
 }
 
-// RevertUnconfirmed is asked when a figure that was taken for a delay should have been followed by another. It says that the
-// figure was a load after all.
-func (s *Server) RevertUnconfirmed(now logic.Micros, c *Conn, heard logic.Micros, figure float64) bool {
-	if s.confirmed || s.lastDelay != heard || s.delayConn != c {
+// RevertUnconfirmed must be called ConfirmWait after a value was classified as a Delay; receivedAt is the time of that value. If
+// no further delay has confirmed it, RevertUnconfirmed records the value as a load and returns true.
+func (s *Server) RevertUnconfirmed(now logic.Micros, c *Conn, receivedAt logic.Micros, value float64) bool {
+	if s.confirmed || s.lastDelay != receivedAt || s.delayConn != c {
 		return false
 	}
 	s.lastDelay = 0
-	c.setLoad(now, figure)
+	c.setLoad(now, value)
 	return true
 }
 
-// ConfirmWait is how long after such a figure that is to be asked.
+// ConfirmWait is the time within which a delay must be confirmed by the next one.
 const ConfirmWait = delayInterval + 2*maxJitter
 
-// ConnClosed says that a connection is gone: delays come on another.
+// ConnClosed records that a connection is closed: further delays will come on another one.
 func (s *Server) ConnClosed(c *Conn) {
 	if s.delayConn == c {
 		s.delayConn = nil
--- a/internal/protocol/client.go
+++ b/internal/protocol/client.go
@@ -12,34 +12,35 @@
 	"hatchproxy/logic"
 )
 
-// ClientEvent is what a client's bytes came to.
+// ClientEvent is the result of feeding bytes to a Client.
 type ClientEvent uint8
 
 const (
 	ClientIncomplete ClientEvent = iota // more bytes are needed
-	ClientProbe                         // the front asks whether the proxy is ready
-	ClientOpen                          // an attachment: the machine's fields tell of it
-	ClientInvalid                       // Why tells what is wrong; the connection is to be closed
+	ClientProbe                         // a PING, which asks whether the proxy is ready
+	ClientOpen                          // an OPEN, which requests an attachment: the fields of Client are set
+	ClientInvalid                       // an error, which is in Err; the connection must be closed
 )
 
-// Client is the state machine of a client's connection. Its fields are set once it has asked.
+// Client is the state machine of a client's connection before it is established. Its exported fields are set by the OPEN
+// line, except for Err.
 type Client struct {
-	ID           uint64 // new with every connection
+	ID           uint64 // identifies the connection: a client uses a new one for each
 	Key          logic.ClientKey
 	Group        logic.GroupID
 	Product      string
-	Timeout      logic.Micros // how long the client waits from when it sent the line; 0 if it does not say
-	LoadHint     float64      // microseconds of work a second; 0 if none
-	Returning    bool         // it comes again after a break or a move
-	Retry        bool         // it has asked before and was not served
-	ResumeServer string       // the server at which the connection was open before this proxy was; "" otherwise
-	Err          error
+	Timeout      logic.Micros // how long the client waits, from when it sent the line; 0 if it is not given
+	LoadHint     float64      // expected load in microseconds of work per second; 0 if it is not given
+	Returning    bool         // the client comes back after its connection broke or was moved
+	Retry        bool         // the client has tried before and was not served
+	ResumeServer string       // the uid of the server to which the connection was established before this proxy had it; "" otherwise
+	Err          error        // set with ClientInvalid
 
 	in                          lineReader
-	opened                      bool
+	opened                      bool // the OPEN line has been read
 	pings                       int
-	hasTimeout                  bool   // how long it waits
-	beforeTimeout, afterTimeout string // of the line, round the figure that tells how long the proxy will wait
+	hasTimeout                  bool   // the OPEN line has the time that the client waits
+	beforeTimeout, afterTimeout string // the parts of the OPEN line around that time, which OpenLine replaces
 }
 
 var (
@@ -48,10 +49,12 @@
 	errTooManyPings = errors.New("too many questions and no attachment")
 )
 
-// maxPings is far more than a front asks on a connection. Guards against floods of them, each with its answer.
+// maxPings is far above the number of pings that a health check sends on a connection. It guards against floods of pings,
+// each of which is answered.
 const maxPings = 32
 
-// Feed takes bytes that came before the connection stands, up to the end of the first line.
+// Feed takes bytes that were received before the connection is established, up to the end of the first line. It returns
+// the bytes that are left to feed.
 func (c *Client) Feed(b []byte) (ClientEvent, []byte) {
 	if len(b) == 0 {
 		return ClientIncomplete, nil
@@ -75,7 +78,7 @@
 	if err := c.parseOpen(string(line)); err != nil {
 		return c.invalid(err)
 	}
-	if len(rest) > 0 { // told before anything is sent on for it
+	if len(rest) > 0 { // detected before anything is sent to a server
 		return c.invalid(errEarlyData)
 	}
 	c.opened = true
@@ -83,18 +86,20 @@
 	return ClientOpen, nil
 }
 
+// invalid records an error.
 func (c *Client) invalid(err error) (ClientEvent, []byte) {
 	c.Err = err
 	c.in.release()
 	return ClientInvalid, nil
 }
 
-// Release gives back what the machine holds.
+// Release frees the buffer that the Client may hold.
 func (c *Client) Release() { c.in.release() }
 
-// PartialLine is what has come of a first line that is not whole yet.
+// PartialLine returns the part of the first line that has been received so far; nil if there is none.
 func (c *Client) PartialLine() []byte { return c.in.partial() }
 
+// parseOpen parses an OPEN line. Its error text goes to the client.
 func (c *Client) parseOpen(line string) error {
 	words := strings.Split(line, " ")
 	if words[0] != "OPEN" {
@@ -113,24 +118,24 @@
 	}
 	c.ID, c.Key = id, logic.ClientKey(key)
 	c.beforeTimeout = line
-	at := len(line) - len(words[3])
-	named := make([]string, 0, 8)
+	offset := len(line) - len(words[3])
+	names := make([]string, 0, 8)
 	for item := range strings.SplitSeq(words[3], ",") {
 		name, value, found := strings.Cut(item, "=")
 		if !found || name == "" {
 			return fmt.Errorf("%.40q has no value", item)
 		}
-		if slices.Contains(named, name) || len(named) == maxFields {
+		if slices.Contains(names, name) || len(names) == maxFields {
 			return fmt.Errorf("%.40q is one too many", name)
 		}
-		named = append(named, name)
+		names = append(names, name)
 		if name == "d" {
-			c.beforeTimeout, c.afterTimeout, c.hasTimeout = line[:at+2], line[at+len(item):], true
+			c.beforeTimeout, c.afterTimeout, c.hasTimeout = line[:offset+2], line[offset+len(item):], true
 		}
 		if err := c.setField(name, value); err != nil {
 			return err
 		}
-		at += len(item) + 1
+		offset += len(item) + 1
 	}
 	if c.Product == "" {
 		return errors.New("no class is named")
@@ -138,12 +143,13 @@
 	return nil
 }
 
-// maxFields is far above what a line lists. Guards against long searches for one that is named twice.
+// maxFields is far above the number of fields that clients list. It bounds the search for fields that are named twice.
 const maxFields = 64
 
-// maxMillis is far above any hard limit; a longer wait is taken for a bad number.
+// maxMillis is far above any hard limit; a larger number in a field is an error.
 const maxMillis = 1e9
 
+// setField sets the field of a name in the list of an OPEN line.
 func (c *Client) setField(name, value string) error {
 	switch name {
 	case "c":
@@ -169,10 +175,10 @@
 			c.LoadHint = 1000 * x
 		}
 	}
-	return nil // further figures are of later days
+	return nil // unknown fields are ignored, so that later versions of the protocol can add some
 }
 
-// OpenLine is the line for the server: as it came, but for how long this proxy will wait.
+// OpenLine returns the OPEN line to send to a server: as it was received, but with the time for which this proxy waits.
 func (c *Client) OpenLine(wait logic.Micros) []byte {
 	if !c.hasTimeout {
 		return []byte(c.beforeTimeout + "\r\n")
@@ -181,37 +187,38 @@
 	return []byte(c.beforeTimeout + strconv.FormatInt(ms, 10) + c.afterTimeout + "\r\n")
 }
 
-// parseKey reads a key; one that is no hexadecimal number stands for itself all the same, equally everywhere.
-func parseKey(word string) uint64 {
-	if x, err := strconv.ParseUint(word, 16, 64); err == nil {
+// parseKey parses a hexadecimal key. Any other text is hashed, so that it identifies the same thing at every proxy.
+func parseKey(key string) uint64 {
+	if x, err := strconv.ParseUint(key, 16, 64); err == nil {
 		return x
 	}
-	return HashName(word)
+	return HashName(key)
 }
 
-// HashName is a number for a name, the same at every proxy.
+// HashName returns a number for a name, which is the same at every proxy.
 func HashName(name string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(name)) // a hash takes all
+	_, _ = h.Write([]byte(name)) // writing to a hash never fails
 	return h.Sum64()
 }
 
-// What a proxy says to a client.
+// Lines that a proxy sends to a client.
 var (
-	ReadyLine    = []byte("PONG\r\n")
-	NotReadyLine = []byte("ERR not ready\r\n")
-	FailedLine   = []byte("ERR\r\n")
-	MoveLine     = []byte("MOVE\r\n")
+	ReadyLine    = []byte("PONG\r\n")          // the answer to a ping
+	NotReadyLine = []byte("ERR not ready\r\n") // the answer to a ping if the proxy is not ready
+	FailedLine   = []byte("ERR\r\n")           // the request failed and may have run
+	MoveLine     = []byte("MOVE\r\n")          // the client is to connect anew
 )
 
-// BusyLine tells a client that trying again is harmless, after a while where that is not 0.
-func BusyLine(after logic.Micros) []byte {
-	if after <= 0 {
+// BusyLine returns the line that tells a client that a retry is harmless, and after which time if that is not 0. The time
+// is rounded up to milliseconds.
+func BusyLine(retryAfter logic.Micros) []byte {
+	if retryAfter <= 0 {
 		return []byte("BUSY\r\n")
 	}
-	ms := (after + logic.Millisecond - 1) / logic.Millisecond
+	ms := (retryAfter + logic.Millisecond - 1) / logic.Millisecond
 	return []byte("BUSY " + strconv.FormatInt(int64(ms), 10) + "\r\n")
 }
 
-// ErrorLine tells a client in one line what was wrong with what it sent.
-func ErrorLine(why error) []byte { return []byte("ERR " + why.Error() + "\r\n") }
+// ErrorLine returns the line that tells a client what was wrong with its input.
+func ErrorLine(err error) []byte { return []byte("ERR " + err.Error() + "\r\n") }
--- a/internal/protocol/probe.go
+++ b/internal/protocol/probe.go
@@ -1,21 +1,21 @@
 package protocol
 
-// ProbeEvent is what the answer to a probe came to.
+// ProbeEvent is the result of feeding bytes to a Prober.
 type ProbeEvent uint8
 
 const (
 	ProbeIncomplete ProbeEvent = iota // more bytes are needed
-	ProbeAnswered
-	ProbeRefused // an error, or no answer to a probe at all
+	ProbeAnswered                     // the server is ready
+	ProbeRefused                      // an error, or a line that is no answer to a probe
 )
 
-// ProbeLine is a probe.
+// ProbeLine is the line that probes a server.
 var ProbeLine = []byte("PING\r\n")
 
 // Prober is the state machine of a connection on which a server is probed, one probe at a time.
 type Prober struct{ in lineReader }
 
-// Feed takes bytes that the server sent.
+// Feed takes bytes that the server has sent.
 func (p *Prober) Feed(b []byte) ProbeEvent {
 	line, rest, whole, err := p.in.next(b)
 	switch {
@@ -30,5 +30,5 @@
 	return ProbeRefused
 }
 
-// Release gives back what the machine holds.
+// Release frees the buffer that the Prober may hold.
 func (p *Prober) Release() { p.in.release() }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -10,7 +10,7 @@
 	"hatchproxy/logic"
 )
 
-func TestAnAskIsReadHoweverItIsCut(t *testing.T) {
+func TestOpenLineIsParsedHoweverItIsSplit(t *testing.T) {
 	line := "OPEN 9b1f 00ff c=chat,d=2000,g=5c,h=12.5,again=1,at=s-1,later=x\r\n"
 	for cut := range len(line) {
 		c := &protocol.Client{}
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestTheLineGoesOnAsItCameWhereItTellsNoWait(t *testing.T) {
+func TestOpenLineWithoutATimeoutIsPassedOnUnchanged(t *testing.T) {
 	for _, line := range []string{"OPEN 1 2 c=chat\r\n", "OPEN 1 2 c=chat,g=\r\n"} {
 		c := &protocol.Client{}
 		ev, _ := c.Feed([]byte(line))
@@ -42,40 +42,40 @@
 	require.Equal(t, "OPEN 1 2 c=chat,d=1000\r\n", string(c.OpenLine(logic.Second)))
 }
 
-func TestALineOfTheFullLengthIsTaken(t *testing.T) {
+func TestLineOfTheMaximumLengthIsAccepted(t *testing.T) {
 	c := &protocol.Client{}
-	ask := "OPEN 1 2 c=chat,x="
-	ev, _ := c.Feed([]byte(ask + strings.Repeat("y", 4094-len(ask)) + "\r\n"))
+	prefix := "OPEN 1 2 c=chat,x="
+	ev, _ := c.Feed([]byte(prefix + strings.Repeat("y", 4094-len(prefix)) + "\r\n"))
 	require.Equal(t, protocol.ClientOpen, ev)
-	ev, _ = (&protocol.Client{}).Feed([]byte(ask + strings.Repeat("y", 4095-len(ask)) + "\r\n"))
+	ev, _ = (&protocol.Client{}).Feed([]byte(prefix + strings.Repeat("y", 4095-len(prefix)) + "\r\n"))
 	require.Equal(t, protocol.ClientInvalid, ev)
 }
 
-func TestWhatAStandingServerSaysIsPassedOnWholeAndUnderstood(t *testing.T) {
+func TestLinesOfAnEstablishedServerArePassedOnAndClassified(t *testing.T) {
 	text := "UP 7\r\nM 1\r\nLOAD 12.5\r\nLOAD x\r\nM " + strings.Repeat("z", 9000) + "\r\nBYE\r\nMOVE\r\n"
 	want := []protocol.ServerEvent{protocol.ServerUp, protocol.ServerMessage, protocol.ServerLoad, protocol.ServerPartialLine,
 		protocol.ServerMessage, protocol.ServerBye, protocol.ServerMove}
 	for _, size := range []int{1, 3, 64, len(text)} {
 		s := &protocol.Server{}
 		var passed string
-		var told []protocol.ServerEvent
+		var events []protocol.ServerEvent
 		for i := 0; i < len(text); i += size {
 			for b := []byte(text[i:min(i+size, len(text))]); len(b) > 0; {
 				ev, pass, rest := s.Feed(b)
 				passed += string(pass)
 				if ev != protocol.ServerIncomplete && s.AtLineStart() {
-					told = append(told, ev)
+					events = append(events, ev)
 				}
 				b = rest
 			}
 		}
 		require.Equal(t, text, passed)
-		require.Equal(t, want, told)
+		require.Equal(t, want, events)
 		require.InDelta(t, 12.5, s.Load, 0)
 	}
 }
 
-func TestARefusalRoundsItsWaitUp(t *testing.T) {
+func TestBusyLineRoundsItsWaitUp(t *testing.T) {
 	require.Equal(t, "BUSY 2\r\n", string(protocol.BusyLine(1001)))
 	require.Equal(t, "BUSY\r\n", string(protocol.BusyLine(0)))
 }
@@ -122,6 +122,6 @@
 				piece = rest
 			}
 		}
-		require.Equal(t, string(b[:len(passed)]), string(passed), "nothing is changed")
+		require.Equal(t, string(b[:len(passed)]), string(passed), "the bytes are passed on unchanged")
 	})
 }
--- a/internal/protocol/server.go
+++ b/internal/protocol/server.go
@@ -6,36 +6,36 @@
 	"strconv"
 )
 
-// ServerEvent is what a server's bytes came to.
+// ServerEvent is the result of feeding bytes to a Server.
 type ServerEvent uint8
 
 const (
-	ServerIncomplete ServerEvent = iota // more bytes are needed
-	ServerUp                            // the connection stands; the line is to be passed on
-	ServerBusy
-	ServerError
-	ServerMove        // a draining server sends the client away
-	ServerBye         // served to its end
-	ServerLoad        // Load tells it
-	ServerMessage     // any other whole line of a standing connection
-	ServerPartialLine // bytes of a line that goes on
-	ServerInvalid     // Why tells what is wrong with its first line
+	ServerIncomplete  ServerEvent = iota // more bytes are needed
+	ServerUp                             // UP: the connection is established; the line is to be passed on
+	ServerBusy                           // BUSY: the server refuses the connection
+	ServerError                          // ERR: the server reports a failure
+	ServerMove                           // MOVE: the server is draining, and the client is to connect anew
+	ServerBye                            // BYE: the client has been served to its end
+	ServerLoad                           // LOAD: its value is in Server.Load
+	ServerMessage                        // any other complete line of an established connection
+	ServerPartialLine                    // bytes of a line that is not complete yet, or a LOAD line without a valid number
+	ServerInvalid                        // the first line is invalid; the error is in Err
 )
 
 // Server is the state machine of a connection to a server.
 type Server struct {
-	Load float64 // microseconds of work a second, as last told
-	Err  error
+	Load float64 // microseconds of work per second, as last reported
+	Err  error   // set with ServerInvalid
 
 	in          lineReader
 	established bool
 
-	prefix     [48]byte // the beginning of the line that is being passed on, enough to tell its verb and figure
-	lineLength int      // bytes of that line so far
+	prefix     [48]byte // the beginning of the line that is being passed on, long enough for its verb and number
+	lineLength int      // number of bytes of that line so far
 }
 
-// Feed takes bytes up to the end of the first line or, on a standing connection, of a line that is being
-// passed on. It returns the event, the bytes to pass on, and those that are left to feed.
+// Feed takes bytes up to the end of the first line or, on an established connection, of a line that is being passed on. It
+// returns the event, the bytes to pass on to the client, and those that are left to feed.
 func (s *Server) Feed(b []byte) (ev ServerEvent, pass, rest []byte) {
 	if len(b) == 0 {
 		return ServerIncomplete, nil, nil
@@ -69,7 +69,7 @@
 	return ServerInvalid, nil, nil
 }
 
-// relay passes bytes on as they come, so that no line is held back, and tells the lines by their beginnings.
+// relay passes bytes on as they are received, so that no line is delayed, and classifies lines by their beginning.
 func (s *Server) relay(b []byte) (ServerEvent, []byte, []byte) {
 	end := bytes.IndexByte(b, '\n') + 1
 	if end == 0 {
@@ -82,6 +82,7 @@
 	return s.classify(line), b[:end], b[end:]
 }
 
+// recordPrefix adds bytes to the beginning of the line that is being passed on.
 func (s *Server) recordPrefix(b []byte) {
 	if s.lineLength < len(s.prefix) {
 		copy(s.prefix[s.lineLength:], b)
@@ -89,6 +90,7 @@
 	s.lineLength += len(b)
 }
 
+// classify returns the event of a line by its beginning, and records the load that it reports.
 func (s *Server) classify(line []byte) ServerEvent {
 	switch {
 	case string(line) == "MOVE":
@@ -96,22 +98,22 @@
 	case string(line) == "BYE":
 		return ServerBye
 	}
-	if figure, found := bytes.CutPrefix(line, []byte("LOAD ")); found {
-		x, err := strconv.ParseFloat(string(figure), 64)
-		if err != nil || !(x >= 0) || math.IsInf(x, 0) {
-			return ServerPartialLine // not an answer to a message either
+	if number, found := bytes.CutPrefix(line, []byte("LOAD ")); found {
+		load, err := strconv.ParseFloat(string(number), 64)
+		if err != nil || !(load >= 0) || math.IsInf(load, 0) {
+			return ServerPartialLine // not a message either, which would count as the answer to one of the client's
 		}
-		s.Load = x
+		s.Load = load
 		return ServerLoad
 	}
 	return ServerMessage
 }
 
-// Resume has the machine go on with a connection that stands, between two lines.
+// Resume makes it the state machine of an established connection that was handed over between two lines.
 func (s *Server) Resume() { s.established = true }
 
-// AtLineStart tells that the last line that was passed on has come whole.
+// AtLineStart reports whether the last line that was passed on was complete.
 func (s *Server) AtLineStart() bool { return s.lineLength == 0 }
 
-// Release gives back what the machine holds.
+// Release frees the buffer that the Server may hold.
 func (s *Server) Release() { s.in.release() }
