--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -141,7 +141,7 @@
 				t.Fatalf("changed is %v, but the state was %v and is now %v", changed, before, after)
 			}
 		}
-		for _, i := range rapid.SliceOf(rapid.IntRange(0, len(log)-1)).Draw(t, "told") {
+		for _, i := range rapid.SliceOf(rapid.IntRange(0, len(log)-1)).Draw(t, "received") {
 			apply(i)
 		}
 		apply(len(log) - 1)
