--- a/internal/platformconfig/config.go
+++ b/internal/platformconfig/config.go
@@ -16,7 +16,7 @@
 	"hatchproxy/logic"
 )
 
-// Config is what a real proxy was given at its start, read and checked.
+// Config is the configuration of a proxy on real sockets, parsed and validated.
 type Config struct {
 	settings Settings
 	seed     uint64
@@ -29,13 +29,13 @@
 	knownServers json.RawMessage
 	hash         string
 
-	listPushed bool              // an agent has each change at once
-	kindByKey  map[string]string // what stands under each key
+	listPushed bool              // agents receive each list change at once, without asking
+	kindByKey  map[string]string // the kind of value under each key, as recordKinds notes it
 }
 
-// FromEnvironment reads the file that ROUTER_CONFIG names; ROUTER_NAME and ROUTER_LISTEN, where set, go before
-// what stands in it. ROUTER_DISCOVERY counts only where the file names none: the file is replaced while the proxy
-// runs, and the variable, as old as the start or older, would then still name the service that was given up.
+// FromEnvironment reads the file that ROUTER_CONFIG names. ROUTER_NAME, ROUTER_LISTEN and ROUTER_ADMIN_ADDR, where set,
+// override the values in the file. ROUTER_DISCOVERY is used only if the file names no discovery service: the file may be
+// replaced while the proxy runs, and the variable, set at the start, would then still name the previous service.
 func FromEnvironment(lookUp func(string) string) (*Config, error) {
 	path := lookUp("ROUTER_CONFIG")
 	if path == "" {
@@ -44,40 +44,41 @@
 	return FromFile(path, lookUp)
 }
 
-// FromFile reads the file at path.
+// FromFile reads the file at path. The environment variables apply as in FromEnvironment.
 func FromFile(path string, lookUp func(string) string) (*Config, error) {
 	text, err := transient.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("the configuration cannot be read: %w", err)
 	}
-	p, err := parse(text)
+	c, err := parse(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	for name, place := range map[string]*string{
-		"ROUTER_NAME": &p.name, "ROUTER_LISTEN": &p.listenAddress, "ROUTER_ADMIN_ADDR": &p.adminAddress,
+	for name, target := range map[string]*string{
+		"ROUTER_NAME": &c.name, "ROUTER_LISTEN": &c.listenAddress, "ROUTER_ADMIN_ADDR": &c.adminAddress,
 	} {
 		if value := lookUp(name); value != "" {
-			*place = value
+			*target = value
 		}
 	}
-	if p.discoveryAddress == "" {
-		p.discoveryAddress = lookUp("ROUTER_DISCOVERY")
+	if c.discoveryAddress == "" {
+		c.discoveryAddress = lookUp("ROUTER_DISCOVERY")
 	}
-	return p, p.validate()
+	return c, c.validate()
 }
 
-// FromJSON reads one that was made elsewhere, and checks it.
+// FromJSON reads a configuration from JSON, without any environment variables, and validates it.
 func FromJSON(text []byte) (*Config, error) {
-	p, err := parse(text)
+	c, err := parse(text)
 	if err != nil {
 		return nil, err
 	}
-	return p, p.validate()
+	return c, c.validate()
 }
 
+// parse reads the JSON without validating the values in it.
 func parse(text []byte) (*Config, error) {
-	var found struct {
+	var file struct {
 		Name, Listen, Discovery, Seed string
 
 		Admin string `json:"admin_addr"`
@@ -89,10 +90,10 @@
 		}
 		Known, Settings json.RawMessage
 	}
-	if err := json.Unmarshal(text, &found); err != nil {
+	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	seed, err := strconv.ParseUint(found.Seed, 16, 64)
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
@@ -102,95 +103,97 @@
 		return nil, err
 	}
 	recordKinds(kinds, "", tree)
-	book, err := SettingsFromJSON(found.Settings)
+	settings, err := SettingsFromJSON(file.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return &Config{
-		settings: book, seed: seed, name: found.Name, listenAddress: found.Listen, discoveryAddress: found.Discovery,
-		adminAddress: found.Admin,
-		cores:        found.Limits.Cores, memoryMB: found.Limits.MemoryMB, sockets: found.Limits.Sockets,
-		listPushed:   book["membership-mode"] == "automatic",
-		knownServers: found.Known, kindByKey: kinds, hash: fmt.Sprintf("%x", sha256.Sum256(text))[:16],
+		settings: settings, seed: seed, name: file.Name, listenAddress: file.Listen, discoveryAddress: file.Discovery,
+		adminAddress: file.Admin,
+		cores:        file.Limits.Cores, memoryMB: file.Limits.MemoryMB, sockets: file.Limits.Sockets,
+		listPushed:   settings["membership-mode"] == "automatic",
+		knownServers: file.Known, kindByKey: kinds, hash: fmt.Sprintf("%x", sha256.Sum256(text))[:16],
 	}, nil
 }
 
-func (p *Config) validate() error {
-	for _, at := range []struct{ name, address string }{{"listen", p.listenAddress}, {"discovery", p.discoveryAddress}, {"admin_addr", p.adminAddress}} {
-		if at.name == "admin_addr" && at.address == "" {
-			continue // there need be none
+// validate returns the first fault of the configuration.
+func (c *Config) validate() error {
+	for _, field := range []struct{ name, address string }{{"listen", c.listenAddress}, {"discovery", c.discoveryAddress}, {"admin_addr", c.adminAddress}} {
+		if field.name == "admin_addr" && field.address == "" {
+			continue // it is optional
 		}
-		if _, err := netip.ParseAddrPort(at.address); err != nil {
-			return fmt.Errorf("%s: %w", at.name, err)
+		if _, err := netip.ParseAddrPort(field.address); err != nil {
+			return fmt.Errorf("%s: %w", field.name, err)
 		}
 	}
-	if p.sockets < minSockets {
-		return fmt.Errorf("limits.sockets: %d are too few, %d are the least", p.sockets, minSockets)
+	if c.sockets < minSockets {
+		return fmt.Errorf("limits.sockets: %d are too few, %d are the least", c.sockets, minSockets)
 	}
-	if p.memoryMB < 0 || p.cores < 0 {
+	if c.memoryMB < 0 || c.cores < 0 {
 		return errors.New("limits: below 0")
 	}
-	if len(p.settings.list("localities")) == 0 {
+	if len(c.settings.list("localities")) == 0 {
 		return errors.New("settings: localities: none")
 	}
-	products, err := p.settings.products()
+	products, err := c.settings.products()
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	if len(products) == 0 {
 		return errors.New("settings: products: none")
 	}
-	if err := p.validateNumbers(len(products)); err != nil {
+	if err := c.validateNumbers(len(products)); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	_, err = p.NewBalancer()
+	_, err = c.NewBalancer()
 	return err
 }
 
 const (
-	// maxDeadlineMillis and mostDispatches are far above what anybody waits or pays for.
+	// maxDeadlineMillis and maxDispatches are far above any value that makes sense.
 	maxDeadlineMillis = 1e9
 	maxDispatches     = 1e4
 )
 
-// validateNumbers guards against deadlines and numbers of attempts under which nobody would be served, or for ever.
-func (p *Config) validateNumbers(products int) error {
-	above := func(path string, most float64, needed bool) error {
-		value, there := p.settings[path]
-		if !there && !needed {
+// validateNumbers rejects deadlines and numbers of attempts with which no request would be served, or with which one would
+// be tried without end. It also rejects products with an empty or duplicate name.
+func (c *Config) validateNumbers(products int) error {
+	checkPositive := func(path string, limit float64, required bool) error {
+		value, exists := c.settings[path]
+		if !exists && !required {
 			return nil
 		}
-		if x, err := strconv.ParseFloat(value, 64); err != nil || !(x > 0 && x <= most) {
-			return fmt.Errorf("%s: %.40q is no number above 0 and up to %g", path, value, most)
+		if x, err := strconv.ParseFloat(value, 64); err != nil || !(x > 0 && x <= limit) {
+			return fmt.Errorf("%s: %.40q is no number above 0 and up to %g", path, value, limit)
 		}
 		return nil
 	}
-	errs := []error{above("limits.max-dispatches", maxDispatches, false)}
+	faults := []error{checkPositive("limits.max-dispatches", maxDispatches, false)}
 	names := map[string]bool{"": true}
 	for i := range products {
-		at := "products." + strconv.Itoa(i) + "."
-		if name := p.settings[at+"name"]; names[name] {
-			errs = append(errs, fmt.Errorf("%sname: %.40q is empty or stands there twice", at, name))
+		prefix := "products." + strconv.Itoa(i) + "."
+		if name := c.settings[prefix+"name"]; names[name] {
+			faults = append(faults, fmt.Errorf("%sname: %.40q is empty or stands there twice", prefix, name))
 		} else {
 			names[name] = true
 		}
-		errs = append(errs, above(at+"hard-limit-ms", maxDeadlineMillis, true), above(at+"quoted-time-ms", maxDeadlineMillis, false))
+		faults = append(faults, checkPositive(prefix+"hard-limit-ms", maxDeadlineMillis, true), checkPositive(prefix+"quoted-time-ms", maxDeadlineMillis, false))
 	}
-	if x, err := p.settings.number("limits.max-dispatches"); err == nil && x != math.Trunc(x) {
-		errs = append(errs, fmt.Errorf("limits.max-dispatches: %g is no whole number", x))
+	if x, err := c.settings.number("limits.max-dispatches"); err == nil && x != math.Trunc(x) {
+		faults = append(faults, fmt.Errorf("limits.max-dispatches: %g is no whole number", x))
 	}
-	return errors.Join(errs...)
+	return errors.Join(faults...)
 }
 
-// CheckReplaces tells what is wrong with a file that is to take another's place: each key that the other has must be there
-// and be of the same kind. Guards against one that was cut short or lost a line, and still reads well.
-func (p *Config) CheckReplaces(other *Config) error {
+// CheckReplaces returns an error if p must not replace other: each key of other must be in p as well, with a value of the
+// same kind. Guards against a file that was cut short or lost a line and is still valid JSON.
+func (c *Config) CheckReplaces(other *Config) error {
 	for _, path := range slices.Sorted(maps.Keys(other.kindByKey)) {
-		kind, there := p.kindByKey[path]
+		kind, exists := c.kindByKey[path]
 		if other.kindByKey[path] == kindNull {
 			continue
 		}
-		if !there {
+		if !exists {
 			return fmt.Errorf("%s: missing, and the configuration in force has it", path)
 		}
 		if kind != other.kindByKey[path] {
@@ -200,13 +203,14 @@
 	return nil
 }
 
-// recordKinds notes what kind of value stands under each key. Rows of a list share their keys: what not all of them have
-// is no key that must be there. The list of servers is left out, for it changes by itself.
+// recordKinds records the kind of value under each key. The items of a list share their keys, of which only those count
+// that all items have with the same kind. The list of known servers is left out, because it changes independently of the
+// configuration.
 func recordKinds(kinds map[string]string, path string, value any) {
-	switch v := value.(type) {
+	switch typed := value.(type) {
 	case map[string]any:
 		kinds[path] = "a group"
-		for name, inner := range v {
+		for name, inner := range typed {
 			if path == "" && name == "known" {
 				continue
 			}
@@ -214,16 +218,16 @@
 		}
 	case []any:
 		kinds[path] = "a list"
-		var shared map[string]string
-		for _, item := range v {
-			row := map[string]string{}
-			recordKinds(row, path+"/*", item)
-			if shared == nil {
-				shared = row
+		var common map[string]string
+		for _, item := range typed {
+			itemKinds := map[string]string{}
+			recordKinds(itemKinds, path+"/*", item)
+			if common == nil {
+				common = itemKinds
 			}
-			maps.DeleteFunc(shared, func(at, kind string) bool { return row[at] != kind })
+			maps.DeleteFunc(common, func(key, kind string) bool { return itemKinds[key] != kind })
 		}
-		maps.Copy(kinds, shared)
+		maps.Copy(kinds, common)
 	case string:
 		kinds[path] = "a text"
 	case float64:
@@ -235,153 +239,159 @@
 	}
 }
 
+// kindNull is the kind of a null value.
 const kindNull = "nothing"
 
 // minSockets leaves room for the program's own descriptors and a few connections.
 const minSockets = 64
 
-// Hash tells one configuration from another: the beginning of its SHA-256.
-func (p *Config) Hash() string { return p.hash }
+// Hash returns the first 16 hexadecimal digits of the file's SHA-256, which identify the configuration.
+func (c *Config) Hash() string { return c.hash }
 
-// Name is the proxy's name, the same after a restart.
-func (p *Config) Name() string { return p.name }
+// Name returns the proxy's name, which stays the same after a restart.
+func (c *Config) Name() string { return c.name }
 
-// Addresses are where clients connect and where the server list is had.
-func (p *Config) Addresses() (listen, discovery string) { return p.listenAddress, p.discoveryAddress }
+// Addresses returns the address on which clients connect and the address of the discovery service.
+func (c *Config) Addresses() (listen, discovery string) { return c.listenAddress, c.discoveryAddress }
 
-// AdminAddress is where operators call; "" where they do not.
-func (p *Config) AdminAddress() string { return p.adminAddress }
+// AdminAddress returns the address of the admin API, or "" if there is none.
+func (c *Config) AdminAddress() string { return c.adminAddress }
 
-// Resources are the cores, the bytes of memory and the descriptors that the proxy may use.
-func (p *Config) Resources() (cores float64, memory, sockets int64) {
-	return p.cores, p.memoryMB << 20, p.sockets
+// Resources returns how many cores, bytes of memory and file descriptors the proxy may use.
+func (c *Config) Resources() (cores float64, memory, sockets int64) {
+	return c.cores, c.memoryMB << 20, c.sockets
 }
 
-// SocketLimit are the descriptors that the proxy may use where its process is allowed so many: the fewer of both. Guards against
-// clients that fill what the process really has, so that no call for the list, and no operator, finds one.
-func (p *Config) SocketLimit(allowed uint64) (int64, error) {
+// SocketLimit returns how many file descriptors the proxy may use in a process that may open allowed: the smaller of
+// allowed and the configured limit. Otherwise clients could take all descriptors of the process, and calls to the discovery
+// service and from operators would find none. It is an error if allowed is below the minimum.
+func (c *Config) SocketLimit(allowed uint64) (int64, error) {
 	if allowed < minSockets {
 		return 0, fmt.Errorf("the process may open %d descriptors, %d are the least", allowed, minSockets)
 	}
-	return int64(min(uint64(p.sockets), allowed)), nil
+	return int64(min(uint64(c.sockets), allowed)), nil
 }
 
-// KnownServers is the server list as this proxy last had it, in discovery's form; nil if there is none.
-func (p *Config) KnownServers() []byte { return p.knownServers }
+// KnownServers returns the server list that this proxy last had, as a JSON answer of the discovery service; nil if there
+// is none.
+func (c *Config) KnownServers() []byte { return c.knownServers }
 
-// NewBalancer makes the instance of the decisions. On sockets the list is always one that must be asked for:
-// where the simulator brings changes unasked, nothing would come, and drains would be missed. And delays count as told
-// once some have come: there are fleets whose settings promise them and whose servers tell none.
-func (p *Config) NewBalancer() (*logic.Balancer, error) {
-	p.settings["membership-mode"] = "subscribe"
-	b, err := p.settings.NewBalancer(p.seed)
+// NewBalancer creates the balancer. A proxy on real sockets always asks for the list itself: the simulator may push changes,
+// but here nobody does, and drains would be missed. Delays count as reported only once some have arrived: there are fleets
+// whose settings announce them although no server reports any.
+func (c *Config) NewBalancer() (*logic.Balancer, error) {
+	c.settings["membership-mode"] = "subscribe"
+	balancer, err := c.settings.NewBalancer(c.seed)
 	if err == nil {
-		b.SetDelaysReported(false)
+		balancer.SetDelaysReported(false)
 	}
-	return b, err
+	return balancer, err
 }
 
-// ServersReportDelay says whether servers tell how long their messages take.
-func (p *Config) ServersReportDelay() bool { return p.settings["family-info.tells-delay"] == "true" }
+// ServersReportDelay reports whether, by the settings, servers report how long their messages take.
+func (c *Config) ServersReportDelay() bool { return c.settings["family-info.tells-delay"] == "true" }
 
-// ZonesAndModels are the zones and models in the order of their numbers.
-func (p *Config) ZonesAndModels() (zones, models []string) {
-	return p.settings.list("localities"), p.settings.list("models")
+// ZonesAndModels returns the names of the zones and of the models, in the order of their IDs.
+func (c *Config) ZonesAndModels() (zones, models []string) {
+	return c.settings.list("localities"), c.settings.list("models")
 }
 
-// Products are the products' names in the order of their numbers, and the hard limit of each.
-func (p *Config) Products() (names []string, limits []logic.Micros) {
-	products, _ := p.settings.products() // checked at the start
+// Products returns the products' names, in the order of their IDs, and the hard limit of each.
+func (c *Config) Products() (names []string, limits []logic.Micros) {
+	products, _ := c.settings.products() // validated when the configuration was read
 	for i := range products {
-		at := "products." + strconv.Itoa(i) + "."
-		limit, _ := p.settings.number(at + "hard-limit-ms")
-		names, limits = append(names, p.settings[at+"name"]), append(limits, MillisToMicros(limit))
+		prefix := "products." + strconv.Itoa(i) + "."
+		limit, _ := c.settings.number(prefix + "hard-limit-ms")
+		names, limits = append(names, c.settings[prefix+"name"]), append(limits, MillisToMicros(limit))
 	}
 	return names, limits
 }
 
-// DialTimeout is how long a connection to a server may take to come up; Asking is the span within which the
-// list must be asked for.
-func (p *Config) DialTimeout() logic.Micros { return p.durationOr("limits.dial-timeout-ms", 250) }
-func (p *Config) ListPollInterval() logic.Micros {
-	return p.durationOr("invariants.ask-within-ms", 10_000)
+// DialTimeout returns how long connecting to a server may take.
+func (c *Config) DialTimeout() logic.Micros { return c.durationOr("limits.dial-timeout-ms", 250) }
+
+// ListPollInterval returns the interval within which the server list must be asked for.
+func (c *Config) ListPollInterval() logic.Micros {
+	return c.durationOr("invariants.ask-within-ms", 10_000)
 }
 
-// DrainGrace is how long after a server was told to drain it may still be sent to; Pushed says that what is told is told to
-// an agent at once, whether or not it is asked.
-func (p *Config) DrainGrace() logic.Micros {
-	return p.durationOr("invariants.stop-sending-within-ms", 0)
+// DrainGrace returns how long the proxy may still send to a server after it was told to drain.
+func (c *Config) DrainGrace() logic.Micros {
+	return c.durationOr("invariants.stop-sending-within-ms", 0)
 }
-func (p *Config) ListPushed() bool { return p.listPushed }
 
-// LateMessageDelay is what a message takes at a server whose messages are late: a third of the shortest quoted time.
-func (p *Config) LateMessageDelay() logic.Micros {
-	products, _ := p.settings.products() // checked at the start
-	late := logic.Micros(math.MaxInt64)
+// ListPushed reports whether agents receive each change of the list at once, without asking for it.
+func (c *Config) ListPushed() bool { return c.listPushed }
+
+// LateMessageDelay returns the delay that is assumed for messages of a server that is reported late: a third of the
+// shortest quoted message time.
+func (c *Config) LateMessageDelay() logic.Micros {
+	products, _ := c.settings.products() // validated when the configuration was read
+	shortest := logic.Micros(math.MaxInt64)
 	for _, product := range products {
 		if product.QuotedMessageTime > 0 {
-			late = min(late, product.QuotedMessageTime/3)
+			shortest = min(shortest, product.QuotedMessageTime/3)
 		}
 	}
-	return late
+	return shortest
 }
 
-func (p *Config) durationOr(path string, otherwise float64) logic.Micros {
-	x, err := p.settings.number(path)
-	if err != nil || x <= 0 {
-		x = otherwise
+// durationOr returns the time at path, which is given in milliseconds, or defaultMillis if there is no positive one.
+func (c *Config) durationOr(path string, defaultMillis float64) logic.Micros {
+	millis, err := c.settings.number(path)
+	if err != nil || millis <= 0 {
+		millis = defaultMillis
 	}
-	return MillisToMicros(x)
+	return MillisToMicros(millis)
 }
 
-// SettingsFromJSON reads a book from nested JSON, in the form that the lines have.
+// SettingsFromJSON reads settings from nested JSON objects.
 func SettingsFromJSON(text []byte) (Settings, error) {
 	if len(text) == 0 {
 		return nil, errors.New("missing")
 	}
-	d := json.NewDecoder(strings.NewReader(string(text)))
-	d.UseNumber()
+	decoder := json.NewDecoder(strings.NewReader(string(text)))
+	decoder.UseNumber()
 	var tree map[string]any
-	if err := d.Decode(&tree); err != nil {
+	if err := decoder.Decode(&tree); err != nil {
 		return nil, err
 	}
-	p := Settings{}
-	p.flatten("", tree)
-	return p, nil
+	settings := Settings{}
+	settings.flatten("", tree)
+	return settings, nil
 }
 
-// flatten lays a branch out in paths: plain lists joined by commas, lists of objects with their length under
-// count and each item under its number.
-func (p Settings) flatten(path string, value any) {
-	switch v := value.(type) {
+// flatten adds a JSON value to the settings under path, in the form that Settings describes.
+func (s Settings) flatten(path string, value any) {
+	switch typed := value.(type) {
 	case map[string]any:
-		for name, inner := range v {
-			at := name
+		for name, inner := range typed {
+			innerPath := name
 			if path != "" {
-				at = path + "." + name
+				innerPath = path + "." + name
 			}
-			p.flatten(at, inner)
+			s.flatten(innerPath, inner)
 		}
 	case []any:
-		plain := make([]string, 0, len(v))
-		for i, item := range v {
-			if _, object := item.(map[string]any); object {
-				p.flatten(path+"."+strconv.Itoa(i), item)
+		plain := make([]string, 0, len(typed))
+		for i, item := range typed {
+			if _, isObject := item.(map[string]any); isObject {
+				s.flatten(path+"."+strconv.Itoa(i), item)
 			} else {
 				plain = append(plain, EscapeValue(fmt.Sprint(item)))
 			}
 		}
-		if len(plain) == 0 && len(v) > 0 {
-			p[path+".count"] = strconv.Itoa(len(v))
+		if len(plain) == 0 && len(typed) > 0 {
+			s[path+".count"] = strconv.Itoa(len(typed))
 			return
 		}
-		p[path] = strings.Join(plain, ",")
+		s[path] = strings.Join(plain, ",")
 	case nil:
-		p[path] = ""
+		s[path] = ""
 	default:
-		p[path] = EscapeValue(fmt.Sprint(v))
+		s[path] = EscapeValue(fmt.Sprint(typed))
 	}
 }
 
-// EscapeValue is how a name or value stands in a book: spaces and commas would be taken for its own.
+// EscapeValue replaces the spaces and commas in a value with underscores; a comma would separate list items.
 func EscapeValue(s string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(s) }
--- a/internal/platformconfig/config_test.go
+++ b/internal/platformconfig/config_test.go
@@ -19,55 +19,56 @@
 "settings":{"localities":["a b","c"],"models":[],"limits":{"retry-after":true,"dial-timeout-ms":250.0},
 "products":[{"name":"chat","idempotency":"repeatable","hard-limit-ms":1800.0}],"family-info":{"message-aim-ms":[150.0]}}}`
 
-func readConfig(t *testing.T, text string, set map[string]string) (*platformconfig.Config, error) {
+// readConfig writes text to a file and reads it as FromEnvironment does, with the variables in environment.
+func readConfig(t *testing.T, text string, environment map[string]string) (*platformconfig.Config, error) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	return platformconfig.FromEnvironment(func(name string) string {
 		if name == "ROUTER_CONFIG" {
 			return file
 		}
-		return set[name]
+		return environment[name]
 	})
 }
 
-func TestNestedSettingsReadAsTheLinesOfTheSimulator(t *testing.T) {
-	book, err := platformconfig.SettingsFromJSON([]byte(`{"a":{"b":1.0,"on":true},"row":["x y",2.5],"none":[],"many":[{"n":"p"},{"n":"q"}]}`))
+func TestSettingsFromJSONEqualThoseFromLines(t *testing.T) {
+	settings, err := platformconfig.SettingsFromJSON([]byte(`{"a":{"b":1.0,"on":true},"row":["x y",2.5],"none":[],"many":[{"n":"p"},{"n":"q"}]}`))
 	require.NoError(t, err)
-	require.Equal(t, platformconfig.SettingsFromLines("a.b=1.0\na.on=true\nrow=x_y,2.5\nnone=\nmany.count=2\nmany.0.n=p\nmany.1.n=q\n"), book)
+	require.Equal(t, platformconfig.SettingsFromLines("a.b=1.0\na.on=true\nrow=x_y,2.5\nnone=\nmany.count=2\nmany.0.n=p\nmany.1.n=q\n"), settings)
 }
 
-func TestThePaperTellsEachPartItsFigures(t *testing.T) {
-	p, err := readConfig(t, validConfig, map[string]string{"ROUTER_LISTEN": "127.0.0.9:1"})
+func TestConfigValues(t *testing.T) {
+	config, err := readConfig(t, validConfig, map[string]string{"ROUTER_LISTEN": "127.0.0.9:1"})
 	require.NoError(t, err)
-	listen, list := p.Addresses()
-	require.Equal(t, []string{"n3", "127.0.0.9:1", "127.2.0.1:8500"}, []string{p.Name(), listen, list})
-	names, limits := p.Products()
+	listen, discovery := config.Addresses()
+	require.Equal(t, []string{"n3", "127.0.0.9:1", "127.2.0.1:8500"}, []string{config.Name(), listen, discovery})
+	names, limits := config.Products()
 	require.Equal(t, []string{"chat"}, names)
 	require.Equal(t, []logic.Micros{1800 * logic.Millisecond}, limits)
-	zones, _ := p.ZonesAndModels()
+	zones, _ := config.ZonesAndModels()
 	require.Equal(t, []string{"a_b", "c"}, zones)
-	require.Equal(t, 250*logic.Millisecond, p.DialTimeout())
-	p, err = readConfig(t, validConfig, map[string]string{"ROUTER_DISCOVERY": "127.2.0.9:1"})
+	require.Equal(t, 250*logic.Millisecond, config.DialTimeout())
+	config, err = readConfig(t, validConfig, map[string]string{"ROUTER_DISCOVERY": "127.2.0.9:1"})
 	require.NoError(t, err)
-	_, list = p.Addresses()
-	require.Equal(t, "127.2.0.1:8500", list, "the file may have been replaced, the variable is from before")
-	p, err = readConfig(t, strings.Replace(validConfig, "127.2.0.1:8500", "", 1), map[string]string{"ROUTER_DISCOVERY": "127.2.0.9:1"})
+	_, discovery = config.Addresses()
+	require.Equal(t, "127.2.0.1:8500", discovery, "the file, which may have been replaced, overrides the variable")
+	config, err = readConfig(t, strings.Replace(validConfig, "127.2.0.1:8500", "", 1), map[string]string{"ROUTER_DISCOVERY": "127.2.0.9:1"})
 	require.NoError(t, err)
-	_, list = p.Addresses()
-	require.Equal(t, "127.2.0.9:1", list)
-	_, memory, sockets := p.Resources()
+	_, discovery = config.Addresses()
+	require.Equal(t, "127.2.0.9:1", discovery)
+	_, memory, sockets := config.Resources()
 	require.Equal(t, []int64{2048 << 20, 4096}, []int64{memory, sockets})
-	for allowed, most := range map[uint64]int64{1 << 62: 4096, 4096: 4096, 1000: 1000} {
-		sockets, err = p.SocketLimit(allowed)
+	for allowed, want := range map[uint64]int64{1 << 62: 4096, 4096: 4096, 1000: 1000} {
+		sockets, err = config.SocketLimit(allowed)
 		require.NoError(t, err)
-		require.Equal(t, most, sockets)
+		require.Equal(t, want, sockets)
 	}
-	_, err = p.SocketLimit(20)
+	_, err = config.SocketLimit(20)
 	require.ErrorContains(t, err, "20 descriptors")
 }
 
-func TestABadConfigurationIsNamedInPlainWords(t *testing.T) {
-	for words, change := range map[string][2]string{
+func TestInvalidConfigurationErrors(t *testing.T) {
+	for want, change := range map[string][2]string{
 		"unexpected end":             {validConfig[len(validConfig)-30:], ""},
 		"seed:":                      {"8c1f30d27a5be964", "xyz"},
 		"listen:":                    {"127.0.0.4:8081", "here"},
@@ -80,7 +81,7 @@
 		"configuration cannot be re": {},
 	} {
 		var err error
-		switch words {
+		switch want {
 		case "does not name a file":
 			_, err = platformconfig.FromEnvironment(func(string) string { return "" })
 		case "configuration cannot be re":
@@ -88,21 +89,21 @@
 		default:
 			_, err = readConfig(t, strings.Replace(validConfig, change[0], change[1], 1), nil)
 		}
-		require.ErrorContains(t, err, words)
+		require.ErrorContains(t, err, want)
 	}
 }
 
-func TestSettingsOfLaterDeploymentsAreReadOrNamed(t *testing.T) {
+func TestSettingsOfNewerDeploymentsAreValidated(t *testing.T) {
 	text := "products.count=1\nproducts.0.name=chat\nlimits.max-dispatches=3\nblend.nines=0.2\nblend.nines-wanted=2\ninvariants.only-draining-binds=true\n"
 	_, err := platformconfig.SettingsFromLines(text).NewBalancer(1)
 	require.NoError(t, err)
-	for words, change := range map[string][2]string{
+	for want, change := range map[string][2]string{
 		"blend.nines-wanted: ": {"wanted=2", "wanted=two"},
 		"below 0":              {"nines=0.2", "nines=-1"},
 		`only-draining-binds: "1" is neither true`: {"binds=true", "binds=1"},
 	} {
 		_, err := platformconfig.SettingsFromLines(strings.Replace(text, change[0], change[1], 1)).NewBalancer(1)
-		require.ErrorContains(t, err, words)
+		require.ErrorContains(t, err, want)
 	}
 }
 
@@ -111,7 +112,7 @@
 "settings":{"localities":["a"],"models":["m"],"limits":{"max-dispatches":6,"dial-timeout-ms":250.0},
 "products":[{"name":"chat","idempotency":"repeatable","hard-limit-ms":1800.0,"quoted-time-ms":300.0}],"family-info":{"message-aim-ms":[150.0]}}}`
 
-// checkReplacement reads a file that is to take the place of full.
+// checkReplacement returns the error with which text is rejected as a replacement of completeConfig.
 func checkReplacement(t *testing.T, text string) error {
 	old, err := platformconfig.FromJSON([]byte(completeConfig))
 	require.NoError(t, err)
@@ -122,15 +123,15 @@
 	return fresh.CheckReplaces(old)
 }
 
-func TestAFileThatIsReadAgainCountsWholeOrNotAtAll(t *testing.T) {
+func TestIncompleteReplacementIsRejected(t *testing.T) {
 	require.NoError(t, checkReplacement(t, completeConfig))
 	for i := range completeConfig {
 		require.Error(t, checkReplacement(t, completeConfig[:i]), "cut after %d bytes", i)
 	}
 	second := `{"name":"pay","idempotency":"once","hard-limit-ms":900,"quoted-time-ms":300.0}`
-	require.NoError(t, checkReplacement(t, strings.Replace(completeConfig, "300.0}]", "300.0},"+second+"]", 1)), "a class may come")
-	require.NoError(t, checkReplacement(t, strings.Replace(completeConfig, `"chat"`, `"pay"`, 1)), "and another go")
-	require.NoError(t, checkReplacement(t, strings.Replace(completeConfig, `"rev":41,`, "", 1)), "the list is not what is retuned")
+	require.NoError(t, checkReplacement(t, strings.Replace(completeConfig, "300.0}]", "300.0},"+second+"]", 1)), "a product may be added")
+	require.NoError(t, checkReplacement(t, strings.Replace(completeConfig, `"chat"`, `"pay"`, 1)), "and another be removed")
+	require.NoError(t, checkReplacement(t, strings.Replace(completeConfig, `"rev":41,`, "", 1)), "the known servers are not part of the check")
 	keys := regexp.MustCompile(`"([a-z_-]+)":`).FindAllStringSubmatch(completeConfig, -1)
 	require.Greater(t, len(keys), 15)
 	for _, key := range keys {
@@ -149,5 +150,5 @@
 	require.ErrorContains(t, checkReplacement(t, strings.Replace(completeConfig, `"cores":1.0,`, ``, 1)), "/limits/cores: missing")
 	require.ErrorContains(t, checkReplacement(t, strings.Replace(completeConfig, "300.0}]", "300.0},"+strings.Replace(second, "pay", "chat", 1)+"]", 1)), "stands there twice")
 	require.ErrorContains(t, checkReplacement(t, strings.Replace(completeConfig, "300.0}]", "300.0},"+strings.Replace(second, `"idempotency":"once",`, "", 1)+"]", 1)),
-		"/settings/products/*/idempotency: missing", "each row holds what rows held before")
+		"/settings/products/*/idempotency: missing", "each product has the keys that all products had before")
 }
--- a/internal/platformconfig/settings.go
+++ b/internal/platformconfig/settings.go
@@ -1,5 +1,6 @@
-// Package opening reads what an instance is told at its start. The settings bear the same names on the
-// simulator's wire and in a real proxy's configuration, and are interpreted here for both.
+// Package platformconfig reads the configuration with which the platform starts a proxy: environment variables, the JSON
+// file that they name, and the settings in it. The settings have the same names in the simulator's protocol and in a real
+// proxy's configuration, and are interpreted here for both.
 package platformconfig
 
 import (
@@ -12,62 +13,65 @@
 	"hatchproxy/logic"
 )
 
-// Settings holds the figures that come with an instance's start, each under its path.
+// Settings holds the values that an instance is started with, by path: "limits.max-dispatches". A list of plain values is
+// one value, joined with commas; a list of objects has its length under "path.count" and its items under "path.0", "path.1"
+// and so on.
 type Settings map[string]string
 
-// SettingsFromLines reads a book from path=value lines.
+// SettingsFromLines reads settings from path=value lines. It ignores lines without "=".
 func SettingsFromLines(text string) Settings {
-	p := Settings{}
+	settings := Settings{}
 	for line := range strings.Lines(text) {
 		if path, value, found := strings.Cut(strings.TrimSpace(line), "="); found {
-			p[path] = value
+			settings[path] = value
 		}
 	}
-	return p
+	return settings
 }
 
-// number reads a figure; an absent one is 0.
-func (p Settings) number(path string) (float64, error) {
-	value := p[path]
+// number returns the number at path, or 0 if there is none.
+func (s Settings) number(path string) (float64, error) {
+	value := s[path]
 	if value == "" {
 		return 0, nil
 	}
-	x, err := strconv.ParseFloat(value, 64)
+	number, err := strconv.ParseFloat(value, 64)
 	if err != nil {
 		return 0, fmt.Errorf("%s: %w", path, err)
 	}
-	return x, nil
+	return number, nil
 }
 
-// numbers reads several figures, and names the first that cannot be read.
-func (p Settings) numbers(paths ...string) ([]float64, error) {
-	found := make([]float64, len(paths))
+// numbers returns the numbers at the given paths. The error names the first path whose value is not a number.
+func (s Settings) numbers(paths ...string) ([]float64, error) {
+	values := make([]float64, len(paths))
 	for i, path := range paths {
-		x, err := p.number(path)
+		value, err := s.number(path)
 		if err != nil {
 			return nil, err
 		}
-		found[i] = x
+		values[i] = value
 	}
-	return found, nil
+	return values, nil
 }
 
-// boolean reads a yes or no; an absent one is no.
-func (p Settings) boolean(path string) (bool, error) {
-	switch p[path] {
+// boolean returns the boolean at path, or false if there is none.
+func (s Settings) boolean(path string) (bool, error) {
+	switch s[path] {
 	case "true":
 		return true, nil
 	case "", "false":
 		return false, nil
 	}
-	return false, fmt.Errorf("%s: %.40q is neither true nor false", path, p[path])
+	return false, fmt.Errorf("%s: %.40q is neither true nor false", path, s[path])
 }
 
-func (p Settings) list(path string) []string {
-	if p[path] == "" {
+// list returns the items of the list of plain values at path, or nil if there is none.
+func (s Settings) list(path string) []string {
+	if s[path] == "" {
 		return nil
 	}
-	return strings.Split(p[path], ",")
+	return strings.Split(s[path], ",")
 }
 
 var (
@@ -80,86 +84,88 @@
 	}
 )
 
-func (p Settings) products() ([]logic.Product, error) {
-	count, err := p.number("products.count")
+// products returns the products in the order of their IDs.
+func (s Settings) products() ([]logic.Product, error) {
+	count, err := s.number("products.count")
 	if err != nil {
 		return nil, err
 	}
-	messages := p.list("family-info.message-aim-ms")
+	messageTimes := s.list("family-info.message-aim-ms")
 	products := make([]logic.Product, int(count))
 	for i := range products {
-		at := "products." + strconv.Itoa(i) + "."
-		f, err := p.numbers(at+"quoted-time-ms", at+"window-ms", at+"gain")
+		prefix := "products." + strconv.Itoa(i) + "."
+		numbers, err := s.numbers(prefix+"quoted-time-ms", prefix+"window-ms", prefix+"gain")
 		if err != nil {
 			return nil, err
 		}
-		products[i] = logic.Product{QuotedTime: MillisToMicros(f[0]), DedupWindow: MillisToMicros(f[1]), DedupScope: dedupScopeByName[p[at+"group"]],
-			Gain: f[2], GainPerLoad: p["gain-by"] == "work"}
-		repeat, known := idempotencyByName[p[at+"idempotency"]]
+		products[i] = logic.Product{QuotedTime: MillisToMicros(numbers[0]), DedupWindow: MillisToMicros(numbers[1]), DedupScope: dedupScopeByName[s[prefix+"group"]],
+			Gain: numbers[2], GainPerLoad: s["gain-by"] == "work"}
+		idempotency, known := idempotencyByName[s[prefix+"idempotency"]]
 		if !known {
-			repeat = logic.OneShot // the strictest kind, should a new word ever come
+			idempotency = logic.OneShot // the strictest kind, for names that this version does not know
 		}
-		products[i].Idempotency = repeat
-		if i < len(messages) {
-			aim, err := strconv.ParseFloat(messages[i], 64)
+		products[i].Idempotency = idempotency
+		if i < len(messageTimes) {
+			quotedMillis, err := strconv.ParseFloat(messageTimes[i], 64)
 			if err != nil {
 				return nil, fmt.Errorf("family-info.message-aim-ms: %w", err)
 			}
-			products[i].QuotedMessageTime = MillisToMicros(aim)
+			products[i].QuotedMessageTime = MillisToMicros(quotedMillis)
 		}
 	}
 	return products, nil
 }
 
-// NewBalancer makes an instance of the decisions from its seed and what the book says.
-func (p Settings) NewBalancer(seed uint64) (*logic.Balancer, error) {
-	products, err := p.products()
+// NewBalancer creates a balancer from the settings, with the given random seed.
+func (s Settings) NewBalancer(seed uint64) (*logic.Balancer, error) {
+	products, err := s.products()
 	if err != nil {
 		return nil, err
 	}
-	f, err := p.numbers("my-number", "zone", "invariants.ask-within-ms",
+	numbers, err := s.numbers("my-number", "zone", "invariants.ask-within-ms",
 		"invariants.start-capacity", "invariants.cold-ms", "invariants.fall-multiple", "invariants.fall-ms",
 		"limits.max-dispatches", "prices.cross-zone", "limits.max-retry-after-ms", "group-size",
 		"prices.moves")
 	if err != nil {
 		return nil, err
 	}
-	// The goal's parts weigh nothing here that is not weighed already; what is no number is an error all the same.
-	goal, err := p.numbers("blend.nines", "blend.nines-wanted")
+	// These settings have no influence on the balancer, but values that are not valid numbers are still errors.
+	blend, err := s.numbers("blend.nines", "blend.nines-wanted")
 	if err != nil {
 		return nil, err
 	}
-	if min(goal[0], goal[1]) < 0 {
-		return nil, fmt.Errorf("blend.nines, blend.nines-wanted: %g, %g: below 0", goal[0], goal[1])
+	if min(blend[0], blend[1]) < 0 {
+		return nil, fmt.Errorf("blend.nines, blend.nines-wanted: %g, %g: below 0", blend[0], blend[1])
 	}
-	unproven, err := p.boolean("invariants.only-draining-binds")
+	goneMayBeUp, err := s.boolean("invariants.only-draining-binds")
 	if err != nil {
 		return nil, err
 	}
-	leave := logic.Permissions{MaxDispatches: int(f[7]), PassThrough: p["family-info.mode"] == "pass",
-		AllowProbes: p["limits.probes"] == "true" && p["family-info.message-aim-ms"] != ""}
-	if p["limits.retry-after"] == "true" {
-		leave.MaxRetryAfter = MillisToMicros(f[9])
+	permissions := logic.Permissions{MaxDispatches: int(numbers[7]), PassThrough: s["family-info.mode"] == "pass",
+		AllowProbes: s["limits.probes"] == "true" && s["family-info.message-aim-ms"] != ""}
+	if s["limits.retry-after"] == "true" {
+		permissions.MaxRetryAfter = MillisToMicros(numbers[9])
 	}
-	b := logic.New(int64(seed), int(f[0]), int(f[10]), logic.ZoneID(f[1]), products, weightKindByName[p["weight-kind"]],
-		logic.ListConfig{Subscribe: p["membership-mode"] == "subscribe", AskWithin: MillisToMicros(f[2]), GoneMayBeUp: unproven},
-		logic.ColdStart{InitialShare: f[3], WarmupTime: MillisToMicros(f[4]), OverloadMultiple: f[5], OverloadWindow: MillisToMicros(f[6])}, leave, f[8], f[11])
-	b.SetDelaysReported(p["family-info.tells-delay"] == "true")
-	return b, nil
+	balancer := logic.New(int64(seed), int(numbers[0]), int(numbers[10]), logic.ZoneID(numbers[1]), products, weightKindByName[s["weight-kind"]],
+		logic.ListConfig{Subscribe: s["membership-mode"] == "subscribe", AskWithin: MillisToMicros(numbers[2]), GoneMayBeUp: goneMayBeUp},
+		logic.ColdStart{InitialShare: numbers[3], WarmupTime: MillisToMicros(numbers[4]), OverloadMultiple: numbers[5], OverloadWindow: MillisToMicros(numbers[6])}, permissions, numbers[8], numbers[11])
+	balancer.SetDelaysReported(s["family-info.tells-delay"] == "true")
+	return balancer, nil
 }
 
-// LoadRatioIndex is the place, in the load reports that come with probes, of a server's load over what it can do; -1 if none is told.
-func (p Settings) LoadRatioIndex() int {
-	if p["limits.probes"] != "true" || p["report.how"] == "off" {
+// LoadRatioIndex returns the index, among the fields of the load reports that answer probes, of the ratio of a server's
+// load to its capacity. It is -1 if the servers do not report it.
+func (s Settings) LoadRatioIndex() int {
+	if s["limits.probes"] != "true" || s["report.how"] == "off" {
 		return -1
 	}
-	return slices.Index(p.list("report.fields"), "x0")
+	return slices.Index(s.list("report.fields"), "x0")
 }
 
-// maxMillis guards against a time that is no number or does not fit.
+// maxMillis bounds the times that MillisToMicros accepts, so that the result fits logic.Micros.
 const maxMillis = 1e15
 
-// MillisToMicros turns milliseconds into whole microseconds; what is no such time counts as 0.
+// MillisToMicros converts milliseconds into whole microseconds. NaN and times of maxMillis or more give 0.
 func MillisToMicros(millis float64) logic.Micros {
 	if !(math.Abs(millis) < maxMillis) {
 		return 0
--- a/internal/succession/succession.go
+++ b/internal/succession/succession.go
@@ -1,6 +1,6 @@
-// Package succession is the way from a running process to the one that takes its place: packets, with descriptors in
-// them, over a Unix socket in a folder that both see. It is never needed: where the socket cannot be had there is no
-// channel, and both go on without.
+// Package succession connects a running proxy process to its successor, the process that replaces it. The two exchange
+// packets, which may carry file descriptors, over a Unix socket in a directory that both can access. The connection is
+// optional: if the socket cannot be opened, both processes run without it.
 package succession
 
 import (
@@ -20,22 +20,25 @@
 
 const (
 	socketName = "hatchproxy.sock"
-	// maxPacketBytes is more than any packet has: a connection's is some hundred bytes, a first line has 4 KiB at most.
+	// maxPacketBytes exceeds every packet that is sent: one connection takes a few hundred bytes, and a client's first
+	// line has at most 4 KiB.
 	maxPacketBytes = 32 << 10
-	// maxFilesPerPacket is how many descriptors come with a packet: a client's and a server's.
+	// maxFilesPerPacket allows for one client connection and one server connection in a packet.
 	maxFilesPerPacket = 2
-	// writeTimeout is how long a packet may wait for the other side; one that reads nothing is as good as gone.
+	// writeTimeout limits how long Send waits for the peer to read. A peer that does not read is treated as gone.
 	writeTimeout = 500 * time.Millisecond
-	// dialTimeout bounds the search for a process that runs already.
+	// dialTimeout limits how long Dial tries to reach the running process.
 	dialTimeout = time.Second
-	// sendRetryTimeout is how long a packet is sent again that failed for a moment: its sender's loop waits meanwhile.
+	// sendRetryTimeout limits the retries of a failed send. It is short because the sender's event loop is blocked
+	// meanwhile.
 	sendRetryTimeout = 50 * time.Millisecond
 )
 
-// Conn leads to the other process. One goroutine may send while another receives.
+// Conn is a connection to the other process. One goroutine may send while another receives.
 type Conn struct{ conn *net.UnixConn }
 
-// Send sends a packet. The descriptors stay the caller's.
+// Send sends a packet together with the given file descriptors, which stay open and belong to the caller. It retries for
+// up to sendRetryTimeout if the system is short of a resource.
 func (c *Conn) Send(packet []byte, files ...int) error {
 	if len(packet) > maxPacketBytes {
 		return fmt.Errorf("a packet of %d bytes is too large", len(packet))
@@ -49,42 +52,43 @@
 	})
 }
 
-// Receive waits for a packet. The descriptors are the caller's.
+// Receive waits for a packet and returns it with the files that came with it, which the caller must close. It returns an
+// error if the connection is closed or the packet was truncated.
 func (c *Conn) Receive() (packet []byte, files []*os.File, err error) {
-	b, side := make([]byte, maxPacketBytes), make([]byte, syscall.CmsgSpace(4*maxFilesPerPacket))
-	n, extra, flags, _, err := c.conn.ReadMsgUnix(b, side)
+	buffer, control := make([]byte, maxPacketBytes), make([]byte, syscall.CmsgSpace(4*maxFilesPerPacket))
+	n, controlLen, flags, _, err := c.conn.ReadMsgUnix(buffer, control)
 	if err != nil {
 		return nil, nil, err
 	}
 	if n == 0 {
 		return nil, nil, net.ErrClosed
 	}
-	messages, err := syscall.ParseSocketControlMessage(side[:extra])
+	messages, err := syscall.ParseSocketControlMessage(control[:controlLen])
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, m := range messages {
-		fds, err := syscall.ParseUnixRights(&m)
+	for _, message := range messages {
+		fds, err := syscall.ParseUnixRights(&message)
 		if err != nil {
-			continue // credentials or the like
+			continue // not file descriptors, e.g. credentials
 		}
 		for _, fd := range fds {
 			files = append(files, os.NewFile(uintptr(fd), "passed on"))
 		}
 	}
 	if flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
-		for _, f := range files {
-			_ = f.Close()
+		for _, file := range files {
+			_ = file.Close()
 		}
-		return nil, nil, errors.New("a packet came in part")
+		return nil, nil, errors.New("a packet was truncated")
 	}
-	return b[:n], files, nil
+	return buffer[:n], files, nil
 }
 
-// Close ends the channel; the other side's Receive ends with it.
+// Close closes the connection; the peer's Receive then returns an error.
 func (c *Conn) Close() { _ = c.conn.Close() }
 
-// Dial leads to the process that runs already.
+// Dial connects to the process that listens in folder. It fails if there is none.
 func Dial(folder string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -99,51 +103,53 @@
 	return &Conn{conn.(*net.UnixConn)}, nil
 }
 
-// Listener is where the next process finds this one.
+// Listener accepts connections from successors of this process.
 type Listener struct {
 	listener *net.UnixListener
 	path     string
 }
 
-// Listen makes this process the one that is found, in the place of whoever was before, and hands over each channel
-// that is opened to it.
-func Listen(folder string, log *slog.Logger, heir func(*Conn)) (*Listener, error) {
-	own := filepath.Join(folder, fmt.Sprintf("%s.%d", socketName, os.Getpid()))
-	if err := os.Remove(own); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return nil, err // what is left of one with this number
+// Listen makes this process the one that Dial reaches in folder, in place of any earlier one. It calls accepted, on a
+// goroutine of its own, with each connection that comes in.
+func Listen(folder string, log *slog.Logger, accepted func(*Conn)) (*Listener, error) {
+	ownPath := filepath.Join(folder, fmt.Sprintf("%s.%d", socketName, os.Getpid()))
+	if err := os.Remove(ownPath); err != nil && !errors.Is(err, os.ErrNotExist) {
+		return nil, err // left over from an earlier process with the same PID
 	}
-	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: own, Net: "unixpacket"})
+	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: ownPath, Net: "unixpacket"})
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // by then the name may be the next one's
+	l.SetUnlinkOnClose(false) // by then the path may belong to the next process
 	s := &Listener{l, filepath.Join(folder, socketName)}
-	// At once, as there is no moment without a name.
-	if err := errors.Join(os.Chmod(own, 0o600), os.Rename(own, s.path)); err != nil {
+	// The rename replaces the previous socket atomically, so that the path always leads to a process.
+	if err := errors.Join(os.Chmod(ownPath, 0o600), os.Rename(ownPath, s.path)); err != nil {
 		_ = l.Close()
-		_ = os.Remove(own)
+		_ = os.Remove(ownPath)
 		return nil, err
 	}
 	go func() {
-		door := listen.NewListener(l, log)
+		retrying := listen.NewListener(l, log)
 		for {
-			conn, err := door.Accept()
-			if err != nil { // it was left or retired
+			conn, err := retrying.Accept()
+			if err != nil { // Close was called, or the deadline that CloseGracefully set has passed
 				_ = l.Close()
 				return
 			}
-			heir(&Conn{conn.(*net.UnixConn)})
+			accepted(&Conn{conn.(*net.UnixConn)})
 		}
 	}()
 	return s, nil
 }
 
-// closeGracePeriod is far more than it takes to accept who has come already.
+// closeGracePeriod is far longer than it takes to accept the connections that are already queued.
 const closeGracePeriod = time.Second
 
-// CloseGracefully gives the seat up for another of the same process, and hands over who has found it until then. Guards against a
-// process that comes in the moment of the change: its channel waited unaccepted, and it never was heard.
+// CloseGracefully closes the listener after closeGracePeriod, when another listener of the same process has replaced it.
+// Connections that were opened to it before the replacement, and are still queued, are accepted; otherwise the process
+// that opened one would never be served.
 func (s *Listener) CloseGracefully() { _ = s.listener.SetDeadline(time.Now().Add(closeGracePeriod)) }
 
-// Close gives the seat up. The name stays, for it may be another's; one at which nobody listens is refused.
+// Close closes the listener at once. It leaves the socket's path in place, as that may belong to another process by now;
+// a connection to a path without a listener is refused.
 func (s *Listener) Close() { _ = s.listener.Close() }
--- a/internal/succession/succession_test.go
+++ b/internal/succession/succession_test.go
@@ -14,129 +14,131 @@
 	"hatchproxy/internal/succession"
 )
 
-// shortTempDir is a short one: a socket's path has 107 bytes at most.
+// shortTempDir makes a temporary directory with a short path: a Unix socket's path has at most 107 bytes.
 func shortTempDir(t *testing.T) string {
-	at, err := os.MkdirTemp("", "hs")
+	dir, err := os.MkdirTemp("", "hs")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = os.RemoveAll(at) })
-	return at
+	t.Cleanup(func() { _ = os.RemoveAll(dir) })
+	return dir
 }
 
-func startListener(t *testing.T, at string) (*succession.Listener, chan *succession.Conn) {
-	heirs := make(chan *succession.Conn, 1)
-	seat, err := succession.Listen(at, slog.New(slog.DiscardHandler), func(c *succession.Conn) { heirs <- c })
+// startListener listens in dir and returns the connections that come in.
+func startListener(t *testing.T, dir string) (*succession.Listener, chan *succession.Conn) {
+	accepted := make(chan *succession.Conn, 1)
+	listener, err := succession.Listen(dir, slog.New(slog.DiscardHandler), func(c *succession.Conn) { accepted <- c })
 	require.NoError(t, err)
-	t.Cleanup(seat.Close)
-	return seat, heirs
+	t.Cleanup(listener.Close)
+	return listener, accepted
 }
 
-// A process found the seat in the moment in which it was changed for another: it was never heard.
-func TestWhoFoundASeatThatIsGivenUpIsHeardAllTheSame(t *testing.T) {
-	at := shortTempDir(t)
-	seat, heirs := startListener(t, at)
-	for range 3 { // one is in the channel, one waits for room there, one has not been accepted
-		c, err := succession.Dial(at)
+// Guards against connections that are lost when a process replaces its listener: they were queued at the old listener
+// and never accepted.
+func TestConnectionsQueuedAtAReplacedListenerAreAccepted(t *testing.T) {
+	dir := shortTempDir(t)
+	listener, accepted := startListener(t, dir)
+	for range 3 { // the first fills the Go channel, the second waits to be sent on it, the third is not accepted yet
+		c, err := succession.Dial(dir)
 		require.NoError(t, err)
 		defer c.Close()
 	}
-	_, later := startListener(t, at)
-	seat.CloseGracefully()
+	_, later := startListener(t, dir)
+	listener.CloseGracefully()
 	for range 3 {
 		select {
-		case <-heirs:
+		case <-accepted:
 		case <-time.After(5 * time.Second):
-			require.Fail(t, "it was not heard")
+			require.Fail(t, "the connection was not accepted")
 		}
 	}
-	c, err := succession.Dial(at)
+	c, err := succession.Dial(dir)
 	require.NoError(t, err)
 	defer c.Close()
 	<-later
 }
 
-func TestDescriptorsComeWithTheirPacket(t *testing.T) {
-	at := shortTempDir(t)
-	_, heirs := startListener(t, at)
-	heir, err := succession.Dial(at)
+func TestDescriptorsArriveWithTheirPacket(t *testing.T) {
+	dir := shortTempDir(t)
+	_, accepted := startListener(t, dir)
+	successor, err := succession.Dial(dir)
 	require.NoError(t, err)
-	old := <-heirs
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	predecessor := <-accepted
+	tcpListener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close()
-	c, err := net.Dial("tcp", l.Addr().String())
+	defer tcpListener.Close()
+	client, err := net.Dial("tcp", tcpListener.Addr().String())
 	require.NoError(t, err)
-	f, err := c.(*net.TCPConn).File()
+	clientFile, err := client.(*net.TCPConn).File()
 	require.NoError(t, err)
-	require.NoError(t, old.Send([]byte("one")))
-	require.NoError(t, old.Send([]byte("two"), int(f.Fd())))
-	require.Error(t, old.Send(make([]byte, 1<<20)), "a packet has a bound")
-	packet, files, err := heir.Receive()
+	require.NoError(t, predecessor.Send([]byte("one")))
+	require.NoError(t, predecessor.Send([]byte("two"), int(clientFile.Fd())))
+	require.Error(t, predecessor.Send(make([]byte, 1<<20)), "the packet is too large")
+	packet, files, err := successor.Receive()
 	require.NoError(t, err)
 	require.Equal(t, "one", string(packet))
 	require.Empty(t, files)
-	packet, files, err = heir.Receive()
+	packet, files, err = successor.Receive()
 	require.NoError(t, err)
 	require.Equal(t, "two", string(packet))
 	require.Len(t, files, 1)
 	passed, err := net.FileConn(files[0])
 	require.NoError(t, err)
-	_ = c.Close()
-	_ = f.Close()
+	_ = client.Close()
+	_ = clientFile.Close()
 	_ = files[0].Close()
 	_, err = passed.Write([]byte("goes on\n"))
 	require.NoError(t, err)
-	peer, err := l.Accept()
+	peer, err := tcpListener.Accept()
 	require.NoError(t, err)
 	b := make([]byte, 8)
 	_, err = peer.Read(b)
 	require.NoError(t, err)
 	require.Equal(t, "goes on\n", string(b))
-	old.Close()
-	_, _, err = heir.Receive()
-	require.Error(t, err, "the end of one side is the other's")
+	predecessor.Close()
+	_, _, err = successor.Receive()
+	require.Error(t, err, "closing one side ends Receive on the other")
 }
 
-func TestWhoDoesNotReadIsNotWaitedForLong(t *testing.T) {
-	at := shortTempDir(t)
-	_, heirs := startListener(t, at)
-	_, err := succession.Dial(at)
+func TestSendToAPeerThatDoesNotReadTimesOut(t *testing.T) {
+	dir := shortTempDir(t)
+	_, accepted := startListener(t, dir)
+	_, err := succession.Dial(dir)
 	require.NoError(t, err)
-	old, began := <-heirs, time.Now()
+	predecessor, began := <-accepted, time.Now()
 	packet := bytes.Repeat([]byte("x"), 30<<10)
 	for err == nil {
-		err = old.Send(packet)
+		err = predecessor.Send(packet)
 	}
 	require.Less(t, time.Since(began), 3*time.Second)
 }
 
-func TestNobodyIsFoundWhereNothingOrSomethingElseIs(t *testing.T) {
-	at := shortTempDir(t)
-	_, err := succession.Dial(at)
+func TestDialFailsWithoutAListener(t *testing.T) {
+	dir := shortTempDir(t)
+	_, err := succession.Dial(dir)
 	require.Error(t, err)
-	path := filepath.Join(at, "hatchproxy.sock")
+	path := filepath.Join(dir, "hatchproxy.sock")
 	require.NoError(t, os.WriteFile(path, []byte("torn"), 0o600))
-	_, err = succession.Dial(at)
+	_, err = succession.Dial(dir)
 	require.Error(t, err)
-	seat, _ := startListener(t, at) // a file is replaced
-	seat.Close()
-	_, err = succession.Dial(at)
-	require.Error(t, err, "what one that died leaves behind is refused")
+	listener, _ := startListener(t, dir) // replaces a regular file
+	listener.Close()
+	_, err = succession.Dial(dir)
+	require.Error(t, err, "nobody listens on the socket that is left")
 	require.NoError(t, os.Remove(path))
 	require.NoError(t, os.MkdirAll(filepath.Join(path, "foreign"), 0o700))
-	_, err = succession.Listen(at, slog.New(slog.DiscardHandler), func(*succession.Conn) {})
-	require.Error(t, err, "a folder is nobody's to take away")
-	entries, err := os.ReadDir(at)
+	_, err = succession.Listen(dir, slog.New(slog.DiscardHandler), func(*succession.Conn) {})
+	require.Error(t, err, "a directory is not replaced")
+	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
-	require.Len(t, entries, 1, "no name of its own stays")
-	_, err = succession.Listen(filepath.Join(at, "none"), slog.New(slog.DiscardHandler), func(*succession.Conn) {})
+	require.Len(t, entries, 1, "the temporary socket is removed")
+	_, err = succession.Listen(filepath.Join(dir, "none"), slog.New(slog.DiscardHandler), func(*succession.Conn) {})
 	require.Error(t, err)
 }
 
-func TestTheLastToTakeTheSeatIsFound(t *testing.T) {
-	at := shortTempDir(t)
-	_, first := startListener(t, at)
-	_, second := startListener(t, at)
-	_, err := succession.Dial(at)
+func TestDialReachesTheLastListener(t *testing.T) {
+	dir := shortTempDir(t)
+	_, first := startListener(t, dir)
+	_, second := startListener(t, dir)
+	_, err := succession.Dial(dir)
 	require.NoError(t, err)
 	<-second
 	require.Empty(t, first)
