--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,6 @@
-// Package admin is the operators' own address: HTTP/1.1, one call a connection. It owns its sockets and goroutines;
-// figures are read from the last copy, and only the two orders wait for the proxy, for a bounded time.
+// Package admin serves the admin API for operators: HTTP/1.1 on an address of its own, with one request per connection. It
+// has its own sockets and goroutines. Metrics come from the last snapshot; only the two orders wait for the proxy, for a
+// limited time.
 package admin
 
 import (
@@ -18,90 +19,95 @@
 	"hatchproxy/internal/telemetry"
 )
 
-// Proxy is what the address needs of a proxy. Its calls come from any goroutine.
+// Proxy is what the admin API needs of a proxy. Its methods are called from any goroutine.
 type Proxy interface {
-	Metrics() *telemetry.Snapshot // the last copy; nil while there is none
+	// Metrics returns the last snapshot, or nil if there is none yet.
+	Metrics() *telemetry.Snapshot
+	// Evacuate makes the proxy start to send its clients away. It returns once the proxy has the order.
 	Evacuate(ctx context.Context) error
+	// Rejoin makes the proxy take clients again.
 	Rejoin(ctx context.Context) error
 }
 
 const (
-	// MaxDescriptors is what the address takes at most: the listener, its connections and one more while one of
-	// them gives way.
+	// MaxDescriptors is how many file descriptors the server uses at most: the listener, its connections, and one more
+	// while a connection is closed to make room.
 	MaxDescriptors = maxConns + 2
-	// maxConns is far above the callers that mean it, who stay for a millisecond each.
+	// maxConns is far above the number of real callers, whose connections last about a millisecond.
 	maxConns = 32
-	// maxHeaderBytes bounds a call's bytes; net/http adds 4 KiB to it.
+	// maxHeaderBytes limits the size of a request's header; net/http adds 4 KiB to it.
 	maxHeaderBytes = 4 << 10
-	// ioTimeout is how long a caller may take to say what it wants, and to read the answer.
+	// ioTimeout limits how long a caller may take to send its request, and to read the response.
 	ioTimeout = 2 * time.Second
-	// orderTimeout is how long an order may take to be confirmed: each answer is due within 1 s.
+	// orderTimeout limits how long the proxy may take to confirm an order. Each response is due within 1 s.
 	orderTimeout = 600 * time.Millisecond
 )
 
-// Server is a running address.
+// Server serves the admin API.
 type Server struct {
 	httpServer *http.Server
 	done       chan struct{}
 }
 
-// Start starts one.
-func Start(address string, p Proxy, log *slog.Logger) (*Server, error) {
-	l, err := listen.TCP(context.Background(), address, log)
+// Start starts a server on address. The error names the setting, admin_addr.
+func Start(address string, proxy Proxy, log *slog.Logger) (*Server, error) {
+	listener, err := listen.TCP(context.Background(), address, log)
 	if err != nil {
 		return nil, fmt.Errorf("admin_addr: %w", err)
 	}
-	a := &Server{done: make(chan struct{})}
-	a.httpServer = &http.Server{
-		Handler: routes(p), ReadTimeout: ioTimeout, WriteTimeout: ioTimeout, MaxHeaderBytes: maxHeaderBytes,
+	server := &Server{done: make(chan struct{})}
+	server.httpServer = &http.Server{
+		Handler: routes(proxy), ReadTimeout: ioTimeout, WriteTimeout: ioTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
-	a.httpServer.SetKeepAlivesEnabled(false)
+	server.httpServer.SetKeepAlivesEnabled(false)
 	go func() {
-		defer close(a.done)
-		if err := a.httpServer.Serve(&evictingListener{Listener: l}); !errors.Is(err, http.ErrServerClosed) {
-			log.Error("the admin address has ended", "error", err)
+		defer close(server.done)
+		if err := server.httpServer.Serve(&evictingListener{Listener: listener}); !errors.Is(err, http.ErrServerClosed) {
+			log.Error("the admin API has ended", "error", err)
 		}
 	}()
 	log.Info("admin", "address", address)
-	return a, nil
+	return server, nil
 }
 
-// Close ends it.
-func (a *Server) Close() {
-	_ = a.httpServer.Close()
-	<-a.done
+// Close stops the server and closes its connections.
+func (s *Server) Close() {
+	_ = s.httpServer.Close()
+	<-s.done
 }
 
-func routes(p Proxy) http.Handler {
+// routes returns the handler of all paths.
+func routes(proxy Proxy) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/ready", func(w http.ResponseWriter, _ *http.Request) {
-		if f := p.Metrics(); f == nil || !f.Ready {
+		if metrics := proxy.Metrics(); metrics == nil || !metrics.Ready {
 			respond(w, http.StatusServiceUnavailable, "not ready")
 			return
 		}
 		respond(w, http.StatusOK, "ready")
 	})
 	mux.HandleFunc("GET /api/telemetry", func(w http.ResponseWriter, _ *http.Request) {
-		f := p.Metrics()
-		if f == nil {
+		metrics := proxy.Metrics()
+		if metrics == nil {
 			respond(w, http.StatusServiceUnavailable, "no figures yet")
 			return
 		}
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-		_, _ = w.Write(f.Text()) // a failure is the caller's
+		_, _ = w.Write(metrics.Text()) // fails only if the caller is gone or too slow
 	})
-	mux.HandleFunc("PUT /api/evacuate", handleOrder(p.Evacuate))
-	mux.HandleFunc("PUT /api/rejoin", handleOrder(p.Rejoin))
+	mux.HandleFunc("PUT /api/evacuate", handleOrder(proxy.Evacuate))
+	mux.HandleFunc("PUT /api/rejoin", handleOrder(proxy.Rejoin))
 	return mux
 }
 
-// handleOrder has the proxy obey. One that it has heard but not confirmed in time it still obeys, and hears no other before.
-func handleOrder(obey func(context.Context) error) http.HandlerFunc {
+// handleOrder returns a handler that gives the proxy an order with apply. An order that is not confirmed within orderTimeout
+// is answered with 202: the proxy still carries it out, before any later order.
+func handleOrder(apply func(context.Context) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), orderTimeout)
 		defer cancel()
-		switch err := obey(ctx); {
+		switch err := apply(ctx); {
 		case err == nil:
 			respond(w, http.StatusOK, "done")
 		case errors.Is(err, context.DeadlineExceeded):
@@ -112,43 +118,45 @@
 	}
 }
 
-func respond(w http.ResponseWriter, status int, word string) {
+// respond sends a line of plain text.
+func respond(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain")
 	w.WriteHeader(status)
-	_, _ = io.WriteString(w, word+"\n") // a failure is the caller's
+	_, _ = io.WriteString(w, text+"\n") // fails only if the caller is gone or too slow
 }
 
-// evictingListener lets everybody in at once; where it is full, the caller that has been there longest goes. Guards against callers that
-// say nothing, or half a call, in front of those that mean it.
+// evictingListener accepts every connection at once. When there are maxConns already, it closes the oldest one. Guards
+// against callers that send nothing, or an incomplete request, and keep others out.
 type evictingListener struct {
 	net.Listener
 	mu    sync.Mutex
-	conns list.List // of *caller, oldest first
+	conns list.List // of *trackedConn, oldest first
 }
 
+// trackedConn is a connection in its listener's list.
 type trackedConn struct {
 	net.Conn
 	listener *evictingListener
 	element  *list.Element
 }
 
-func (d *evictingListener) Accept() (net.Conn, error) {
-	conn, err := d.Listener.Accept()
+func (l *evictingListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &trackedConn{Conn: conn, listener: d}
-	d.mu.Lock()
+	tracked := &trackedConn{Conn: conn, listener: l}
+	l.mu.Lock()
 	var oldest *trackedConn
-	if d.conns.Len() >= maxConns {
-		oldest = d.conns.Front().Value.(*trackedConn)
+	if l.conns.Len() >= maxConns {
+		oldest = l.conns.Front().Value.(*trackedConn)
 	}
-	c.element = d.conns.PushBack(c)
-	d.mu.Unlock()
+	tracked.element = l.conns.PushBack(tracked)
+	l.mu.Unlock()
 	if oldest != nil {
 		_ = oldest.Close()
 	}
-	return c, nil
+	return tracked, nil
 }
 
 func (c *trackedConn) Close() error {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery asks for the list of servers and follows its changes.
+// Package discovery is the client of the discovery service: it fetches the list of servers and follows its changes.
 package discovery
 
 import (
@@ -18,20 +18,25 @@
 	"hatchproxy/logic"
 )
 
-// ListVisitor is told what an answer says.
+// ListVisitor receives the contents of an answer.
 type ListVisitor interface {
+	// BeginFullList comes first if the answer is the full list and not only its changes: servers that have no entry in it
+	// are no longer listed.
 	BeginFullList()
+	// Entry is called for each server in the answer. launchedAt is when the server was started.
 	Entry(uid, endpoint, zone, model string, cell logic.CellID, state logic.State, weight float64,
-		launched logic.Micros)
+		launchedAt logic.Micros)
+	// EndList comes last.
 	EndList()
 }
 
+// states are the server states by their names in an answer.
 var states = map[string]logic.State{"ready": logic.Ready, "draining": logic.Draining, "gone": logic.Gone}
 
-// Decode reads an answer. It returns the list's version and a call that tells the list; an answer that is
-// wrong anywhere tells nothing.
-func Decode(text []byte) (version int64, tell func(ListVisitor), err error) {
-	var found struct {
+// Decode parses an answer of the discovery service. It returns the list's version and a function that passes the entries to
+// a visitor. If any part of the answer is invalid, it returns an error and no entry is used.
+func Decode(text []byte) (version int64, visit func(ListVisitor), err error) {
+	var body struct {
 		Rev     *int64
 		All     bool
 		Targets []struct {
@@ -42,36 +47,36 @@
 			BootMS       float64 `json:"boot_ms"`
 		}
 	}
-	if err := json.Unmarshal(text, &found); err != nil {
+	if err := json.Unmarshal(text, &body); err != nil {
 		return 0, nil, err
 	}
-	if found.Rev == nil {
+	if body.Rev == nil {
 		return 0, nil, errors.New("the list has no version")
 	}
-	for _, e := range found.Targets {
-		if e.UID == "" {
+	for _, target := range body.Targets {
+		if target.UID == "" {
 			return 0, nil, errors.New("a server has no uid")
 		}
-		if _, known := states[e.State]; !known {
-			return 0, nil, fmt.Errorf("server state %.40q is unknown", e.State)
+		if _, known := states[target.State]; !known {
+			return 0, nil, fmt.Errorf("server state %.40q is unknown", target.State)
 		}
 	}
-	return *found.Rev, func(l ListVisitor) {
-		if found.All {
-			l.BeginFullList()
+	return *body.Rev, func(visitor ListVisitor) {
+		if body.All {
+			visitor.BeginFullList()
 		}
-		for _, e := range found.Targets {
-			l.Entry(e.UID, e.Endpoint, e.AZ, e.Model, logic.CellID(e.PodGroup), states[e.State],
-				e.CapacityHint, logic.Micros(e.BootMS)*logic.Millisecond)
+		for _, target := range body.Targets {
+			visitor.Entry(target.UID, target.Endpoint, target.AZ, target.Model, logic.CellID(target.PodGroup), states[target.State],
+				target.CapacityHint, logic.Micros(target.BootMS)*logic.Millisecond)
 		}
-		l.EndList()
+		visitor.EndList()
 	}, nil
 }
 
-// ServerID is a server's id, computed from its uid alone, so that all proxies agree on it.
+// ServerID returns a server's ID. It is computed from the uid alone, so that all proxies agree on it.
 func ServerID(uid string) logic.ServerID { return logic.ServerID(protocol.HashName(uid)) }
 
-// Client is the place where the list is had.
+// Client asks a discovery service for the list.
 type Client struct {
 	baseURL    string
 	maxHold    time.Duration
@@ -80,34 +85,36 @@
 
 const (
 	connectTimeout = time.Second
-	// immediateHold is the wait of a call that only wants to know what there is.
+	// immediateHold is the hold time of a poll: a call that the service is to answer at once, with or without changes.
 	immediateHold = time.Millisecond
-	// watchOverdue is how long an answer that its wait has made due may be out before it is asked for beside the call that is
-	// out. What a watch misses that has fallen silent counts as told 2 s after its wait is over: that leaves three
-	// quarters of it to a call that has to be dialled, is turned away once, or waits its turn.
+	// watchOverdue is how long after the end of its hold time a watch may remain unanswered before a second call is made
+	// beside it. A change that a stalled watch misses counts as announced 2 s after the hold time: this leaves three
+	// quarters of that to a second call that has to connect, is rejected once, or is queued.
 	watchOverdue = 500 * time.Millisecond
-	// pollOverdue is the same for a look. What it does not bring counts as told after 6 s, 4 s after a new configuration;
-	// a service that takes calls in turn is a second or two behind where all proxies come at once, and a second call
-	// from each would only lengthen its queue.
+	// pollOverdue is how long a poll may remain unanswered before a second call is made. A change that a poll misses counts
+	// as announced after 6 s, or 4 s after a new configuration. A service that handles calls one after another is a second
+	// or two behind when all proxies call at once, and a second call from each would only lengthen its queue.
 	pollOverdue = 2 * time.Second
-	// pollTimeout is how long a look may take in all; the service gives up on those that have waited for some seconds.
+	// pollTimeout is how long a poll may take in all. The service drops calls that have waited for several seconds.
 	pollTimeout = 4 * time.Second
-	// maxConcurrentCalls is how many calls are out at once: one, and the one that comes in its place.
+	// maxConcurrentCalls allows for one call and the second call beside it.
 	maxConcurrentCalls = 2
-	// minHoldFraction is the least part of the longest wait that a watch is given. Watches that began with the same change, and
-	// have fallen silent together, end apart, and so do the calls that come in their place.
+	// minHoldFraction is the smallest hold time of a watch, as a fraction of the longest. Hold times are drawn at random so
+	// that watches which began with the same change, and stalled together, do not end together, nor do the calls that
+	// replace them.
 	minHoldFraction = 0.6
-	// maxAnswerBytes is some 15,000 servers; a longer answer is garbage, and one that never ends must not fill the few tens of
-	// megabytes that a proxy has.
+	// maxAnswerBytes is enough for some 15,000 servers. A longer answer is invalid, and one without an end must not fill the
+	// few tens of megabytes of memory that a proxy has.
 	maxAnswerBytes = 4 << 20
 )
 
 var errAnswerTooLarge = fmt.Errorf("the answer is longer than %d bytes", maxAnswerBytes)
 
-// NewClient names the service's address and how long a watch may wait.
-func NewClient(address string, hold time.Duration) *Client {
+// NewClient returns a client of the service at address. maxHold is the longest time for which the service is asked to hold
+// a watch while there is no change.
+func NewClient(address string, maxHold time.Duration) *Client {
 	return &Client{
-		baseURL: "http://" + address + "/v1/servers", maxHold: hold,
+		baseURL: "http://" + address + "/v1/servers", maxHold: maxHold,
 		httpClient: &http.Client{Transport: &http.Transport{
 			DialContext:        dial,
 			MaxConnsPerHost:    maxConcurrentCalls,
@@ -116,8 +123,8 @@
 	}
 }
 
-// dial connects to the service. For want of this machine's own resources it is tried again: that says nothing of the
-// service, and a call that is given up for it would be made again only seconds later.
+// dial connects to the service. It retries while this machine is short of a resource: such a failure says nothing about the
+// service, and a call that failed because of it would be repeated only seconds later.
 func dial(ctx context.Context, network, address string) (conn net.Conn, err error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
@@ -128,82 +135,85 @@
 	return conn, err
 }
 
-// Close gives back the connections on which no call is out. Calls are ended by their own context.
-func (s *Client) Close() { s.httpClient.CloseIdleConnections() }
+// Close closes the idle connections. It does not end calls; their context does.
+func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
-// NoVersion is the version of no list at all.
+// NoVersion is the version to start from when no list is known.
 const NoVersion = -1
 
-// Follow asks for what is newer than a version, at once, and then goes on watching. Each answer is handed to told, with
-// the wait of the watch that is opened next; it ends with the first call that fails, and with ctx.
-func (s *Client) Follow(ctx context.Context, version int64, told func(version int64, hold time.Duration, tell func(ListVisitor))) error {
+// Follow asks for the changes after a version, first with a poll and then with one watch after another. It calls received
+// with each answer, together with the hold time of the watch that follows. It returns the error of the first call that
+// fails, as they all do when ctx ends.
+func (c *Client) Follow(ctx context.Context, version int64, received func(version int64, hold time.Duration, visit func(ListVisitor))) error {
 	hold := immediateHold
 	for {
-		heard := s.hedgedCall(ctx, version, hold)
-		if heard.err != nil {
-			return heard.err
+		result := c.hedgedCall(ctx, version, hold)
+		if result.err != nil {
+			return result.err
 		}
-		version, hold = heard.version, s.nextHold()
-		told(version, hold, heard.visit)
+		version, hold = result.version, c.nextHold()
+		received(version, hold, result.visit)
 	}
 }
 
-// nextHold draws how long the next watch may wait.
-func (s *Client) nextHold() time.Duration {
-	return time.Duration(float64(s.maxHold) * (minHoldFraction + (1-minHoldFraction)*rand.Float64()))
+// nextHold draws the hold time of the next watch.
+func (c *Client) nextHold() time.Duration {
+	return time.Duration(float64(c.maxHold) * (minHoldFraction + (1-minHoldFraction)*rand.Float64()))
 }
 
-// answer is what came of a call.
+// answer is the result of a call.
 type answer struct {
 	version int64
 	visit   func(ListVisitor)
 	err     error
 }
 
-// hedgedCall asks, and asks again beside a call whose answer is overdue; what comes first counts. Guards against a watch that
-// has fallen silent, which only its wait tells from one that has nothing to say.
-func (s *Client) hedgedCall(ctx context.Context, version int64, hold time.Duration) answer {
+// hedgedCall makes a call, and a second one beside it when the answer is overdue; the first answer without an error counts.
+// Guards against a stalled watch, which looks the same as a watch without changes until its hold time is over.
+func (c *Client) hedgedCall(ctx context.Context, version int64, hold time.Duration) answer {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	answers := make(chan answer, maxConcurrentCalls)
-	out := 0
-	ask := func(hold, most time.Duration) {
-		out++
-		go func() { answers <- s.callForAnswer(ctx, version, hold, most) }()
+	pending := 0
+	start := func(hold, timeout time.Duration) {
+		pending++
+		go func() { answers <- c.callForAnswer(ctx, version, hold, timeout) }()
 	}
-	late := pollOverdue
+	overdue := pollOverdue
 	if hold == immediateHold {
-		ask(immediateHold, pollTimeout)
+		start(immediateHold, pollTimeout)
 	} else {
-		late = hold + watchOverdue
-		ask(hold, late+watchOverdue)
+		overdue = hold + watchOverdue
+		start(hold, overdue+watchOverdue)
 	}
-	again := time.NewTimer(late)
-	defer again.Stop()
+	timer := time.NewTimer(overdue)
+	defer timer.Stop()
 	for {
 		select {
-		case heard := <-answers:
-			if out--; heard.err == nil || out == 0 {
-				return heard
+		case result := <-answers:
+			if pending--; result.err == nil || pending == 0 {
+				return result
 			}
-		case <-again.C:
-			if out < maxConcurrentCalls {
-				ask(immediateHold, pollTimeout)
+		case <-timer.C:
+			if pending < maxConcurrentCalls {
+				start(immediateHold, pollTimeout)
 			}
-			again.Reset(pollOverdue)
+			timer.Reset(pollOverdue)
 		}
 	}
 }
 
-func (s *Client) callForAnswer(ctx context.Context, version int64, hold, most time.Duration) answer {
-	version, tell, err := s.call(ctx, version, hold, most)
-	return answer{version, tell, err}
+// callForAnswer makes a single call and returns its results as an answer.
+func (c *Client) callForAnswer(ctx context.Context, version int64, hold, timeout time.Duration) answer {
+	version, visit, err := c.call(ctx, version, hold, timeout)
+	return answer{version, visit, err}
 }
 
-func (s *Client) call(ctx context.Context, version int64, hold, most time.Duration) (int64, func(ListVisitor), error) {
-	ctx, cancel := context.WithTimeout(ctx, most)
+// call makes a single call and decodes the answer; it ends after timeout.
+func (c *Client) call(ctx context.Context, version int64, hold, timeout time.Duration) (int64, func(ListVisitor), error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	url := s.baseURL
+	url := c.baseURL
 	if version >= 0 {
 		url += "?from=" + strconv.FormatInt(version, 10) + "&hold_ms=" + strconv.FormatInt(hold.Milliseconds(), 10)
 	}
@@ -211,7 +221,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	resp, err := s.httpClient.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -18,56 +18,56 @@
 	"hatchproxy/logic"
 )
 
-// listRecorder notes what a list says.
+// listRecorder records the calls that a visitor gets.
 type listRecorder []string
 
-func (l *listRecorder) BeginFullList() { *l = append(*l, "whole") }
-func (l *listRecorder) EndList()       { *l = append(*l, "done") }
+func (l *listRecorder) BeginFullList() { *l = append(*l, "begin") }
+func (l *listRecorder) EndList()       { *l = append(*l, "end") }
 func (l *listRecorder) Entry(uid, endpoint, zone, model string, cell logic.CellID, state logic.State,
 	weight float64, launched logic.Micros) {
 	*l = append(*l, fmt.Sprint(uid, endpoint, zone, model, cell, state, weight, launched))
 }
 
-func TestAnAnswerIsToldFieldByField(t *testing.T) {
-	version, tell, err := discovery.Decode([]byte(`{"rev":43,"all":true,"extra":1,"targets":[{"uid":"s-1","endpoint":"h:1","az":"a",
+func TestDecodePassesOnEachField(t *testing.T) {
+	version, visit, err := discovery.Decode([]byte(`{"rev":43,"all":true,"extra":1,"targets":[{"uid":"s-1","endpoint":"h:1","az":"a",
 		"model":"m2","pod_group":3,"state":"draining","capacity_hint":1.5,"boot_ms":7}]}`))
 	require.NoError(t, err)
 	require.Equal(t, int64(43), version)
-	l := &listRecorder{}
-	tell(l)
-	require.Equal(t, listRecorder{"whole", fmt.Sprint("s-1", "h:1", "a", "m2", 3, logic.Draining, 1.5, 7000), "done"}, *l)
+	recorder := &listRecorder{}
+	visit(recorder)
+	require.Equal(t, listRecorder{"begin", fmt.Sprint("s-1", "h:1", "a", "m2", 3, logic.Draining, 1.5, 7000), "end"}, *recorder)
 }
 
-// followVersions follows a stand-in's list and notes the versions that are told.
-func followVersions(t *testing.T, at string, hold time.Duration) <-chan int64 {
+// followVersions follows the list of the fake service at address and returns the versions that it announces.
+func followVersions(t *testing.T, address string, hold time.Duration) <-chan int64 {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	versions := make(chan int64, 100)
 	go func() {
-		_ = discovery.NewClient(at, hold).Follow(ctx, discovery.NoVersion, func(v int64, _ time.Duration, _ func(discovery.ListVisitor)) { versions <- v })
+		_ = discovery.NewClient(address, hold).Follow(ctx, discovery.NoVersion, func(version int64, _ time.Duration, _ func(discovery.ListVisitor)) { versions <- version })
 	}()
 	return versions
 }
 
-// nextVersion waits for what is told next.
-func nextVersion(t *testing.T, told <-chan int64) int64 {
+// nextVersion waits for the next version.
+func nextVersion(t *testing.T, versions <-chan int64) int64 {
 	select {
-	case version := <-told:
+	case version := <-versions:
 		return version
 	case <-time.After(10 * time.Second):
-		require.Fail(t, "nothing is told")
+		require.Fail(t, "no version was received")
 		return 0
 	}
 }
 
-func TestACallThatIsOverdueIsMadeAgainBesideTheOneThatIsOut(t *testing.T) {
-	for name, silent := range map[string]func(*fleet.Hand, <-chan int64){
-		"a watch": func(list *fleet.Hand, told <-chan int64) {
-			require.Equal(t, int64(1), nextVersion(t, told))
+func TestASecondCallIsMadeBesideAnOverdueOne(t *testing.T) {
+	for name, stall := range map[string]func(*fleet.Hand, <-chan int64){
+		"a watch": func(list *fleet.Hand, versions <-chan int64) {
+			require.Equal(t, int64(1), nextVersion(t, versions))
 			require.Eventually(t, func() bool { return list.Calls() > 1 }, time.Second, time.Millisecond)
 			list.Hush()
 		},
-		"the first look": func(list *fleet.Hand, told <-chan int64) {
+		"the first poll": func(list *fleet.Hand, versions <-chan int64) {
 			require.Eventually(t, func() bool { return list.Calls() > 0 }, time.Second, time.Millisecond)
 			list.Break("")
 		},
@@ -77,21 +77,21 @@
 			list, err := fleet.ByHand()
 			require.NoError(t, err)
 			list.Set("s0", "127.0.0.1:1", "ready")
-			if name == "the first look" {
+			if name == "the first poll" {
 				list.Break("silent")
 			}
-			told := followVersions(t, list.Address(), 300*time.Millisecond)
-			silent(list, told)
+			versions := followVersions(t, list.Address(), 300*time.Millisecond)
+			stall(list, versions)
 			began := time.Now()
 			list.Set("s0", "", "draining")
-			require.Equal(t, int64(2), nextVersion(t, told))
-			require.Less(t, time.Since(began), 2300*time.Millisecond, "2 s after its wait is over what it misses counts as told")
-			require.Eventually(t, func() bool { return list.Calls() > 3 }, 2*time.Second, time.Millisecond, "it is watched again")
+			require.Equal(t, int64(2), nextVersion(t, versions))
+			require.Less(t, time.Since(began), 2300*time.Millisecond, "a change that a watch misses is received within 2 s after its hold time")
+			require.Eventually(t, func() bool { return list.Calls() > 3 }, 2*time.Second, time.Millisecond, "a watch follows")
 		})
 	}
 }
 
-func TestAServiceThatTurnsCallsAwayEndsTheWatchAtOnce(t *testing.T) {
+func TestFollowEndsWhenTheServiceRejectsACall(t *testing.T) {
 	list, err := fleet.ByHand()
 	require.NoError(t, err)
 	list.Break("down")
@@ -101,51 +101,52 @@
 	require.Less(t, time.Since(began), time.Second)
 }
 
-// An answer that never ended was read up to 64 MiB, of which its buffer takes twice as much: a proxy has 32.
-func TestAnAnswerThatNeverEndsIsGivenUpSoon(t *testing.T) {
-	var wrote atomic.Int64
-	at := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+// Guards against an answer without an end that fills the memory. The limit was 64 MiB, for which the buffer grows to twice
+// as much, while a proxy may have 32 MiB.
+func TestAnswerSizeIsLimited(t *testing.T) {
+	var written atomic.Int64
+	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		part := bytes.Repeat([]byte(" "), 1<<20)
 		for {
 			n, err := w.Write(part)
-			wrote.Add(int64(n))
+			written.Add(int64(n))
 			if err != nil {
 				return
 			}
 		}
 	}))
-	defer at.Close()
-	err := discovery.NewClient(at.Listener.Addr().String(), time.Second).Follow(context.Background(), discovery.NoVersion, nil)
+	defer service.Close()
+	err := discovery.NewClient(service.Listener.Addr().String(), time.Second).Follow(context.Background(), discovery.NoVersion, nil)
 	require.ErrorContains(t, err, "longer than")
-	require.Less(t, wrote.Load(), int64(24<<20), "it was read no further, but for what sockets hold")
+	require.Less(t, written.Load(), int64(24<<20), "reading stops at the limit; the rest is in socket buffers")
 }
 
-func TestAListThatWasCutShortOrHasMoreBehindItTellsNothing(t *testing.T) {
-	const whole = `{"rev":2,"all":true,"targets":[{"uid":"s-1","endpoint":"h:1","state":"draining"}]}`
-	for _, text := range []string{whole[:len(whole)-1], whole + "x", whole + whole, whole[1:], ""} {
-		_, tell, err := discovery.Decode([]byte(text))
+func TestDecodeRejectsTruncatedAndTrailingData(t *testing.T) {
+	const complete = `{"rev":2,"all":true,"targets":[{"uid":"s-1","endpoint":"h:1","state":"draining"}]}`
+	for _, text := range []string{complete[:len(complete)-1], complete + "x", complete + complete, complete[1:], ""} {
+		_, visit, err := discovery.Decode([]byte(text))
 		require.Error(t, err, text)
-		require.Nil(t, tell)
+		require.Nil(t, visit)
 	}
-	_, _, err := discovery.Decode([]byte("\n  " + strings.ReplaceAll(whole, ",", ",\n    ") + "\n"))
-	require.NoError(t, err, "it may come indented")
+	_, _, err := discovery.Decode([]byte("\n  " + strings.ReplaceAll(complete, ",", ",\n    ") + "\n"))
+	require.NoError(t, err, "indented JSON is valid")
 }
 
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"rev":43,"all":false,"targets":[{"uid":"s","state":"gone","boot_ms":1e300}]}`))
 	f.Add([]byte(`{"rev":null}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		_, tell, err := discovery.Decode(text)
+		_, visit, err := discovery.Decode(text)
 		if err == nil {
-			l := &listRecorder{}
-			tell(l)
-			require.Equal(t, "done", (*l)[len(*l)-1])
+			recorder := &listRecorder{}
+			visit(recorder)
+			require.Equal(t, "end", (*recorder)[len(*recorder)-1])
 		}
 	})
 }
 
-// The trial plays hundreds of servers. A list of eleven hundred is told whole, and one wrong entry has it tell nothing.
-func TestAListOfElevenHundredCountsWholeOrNotAtAll(t *testing.T) {
+// Fleets have hundreds of servers. A list of 1100 is read in full, and one invalid entry makes all of it invalid.
+func TestDecodeReadsALongListWhollyOrNotAtAll(t *testing.T) {
 	list := func(states ...string) []byte {
 		var b strings.Builder
 		b.WriteString(`{"rev":7,"all":true,"targets":[`)
@@ -162,11 +163,11 @@
 	for i := range states {
 		states[i] = "ready"
 	}
-	_, tell, err := discovery.Decode(list(states...))
+	_, visit, err := discovery.Decode(list(states...))
 	require.NoError(t, err)
-	l := &listRecorder{}
-	tell(l)
-	require.Len(t, *l, 1102)
+	recorder := &listRecorder{}
+	visit(recorder)
+	require.Len(t, *recorder, 1102)
 	states[1050] = "odd"
 	_, _, err = discovery.Decode(list(states...))
 	require.ErrorContains(t, err, "odd")
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry counts what a proxy did and writes it as text. Counts belong to one owner, who counts each thing
-// where it happens; copies may be read by anybody.
+// Package telemetry counts a proxy's events and writes the metrics in Prometheus' text format. Counters belong to a single
+// goroutine, which counts each event where it happens; any goroutine may read a Snapshot.
 package telemetry
 
 import (
@@ -10,12 +10,12 @@
 	"strings"
 )
 
-// Ending is how a client's request ended, as far as the proxy answers for it.
+// Ending is how a client's request ended, as far as the proxy is responsible for it.
 type Ending uint8
 
 const (
-	Answered Ending = iota // brought up
-	Deferred               // refused: trying again is harmless
+	Answered Ending = iota // the connection was established
+	Deferred               // refused; the client may safely try again
 	Errored                // failed
 	endingCount
 )
@@ -24,124 +24,126 @@
 
 func (e Ending) String() string { return endingNames[e] }
 
-// Counters run from the start of the process and never fall. A class that is no longer offered keeps its own.
+// Counters count from the start of the process and never decrease. A class that is no longer offered keeps its counters.
 type Counters struct {
 	classes                       map[string]*[endingCount]uint64
-	Sends                         uint64 // lines written whole to servers
-	ConfigsLoaded, ConfigsInvalid uint64 // configurations that were taken, and turned down
-	AcceptRetries                 uint64 // accepts that failed for a moment
-	RegisterRetries               uint64 // connections that the event loop did not take at first
-	DialRetries                   uint64 // dials made again for want of this machine's own resources
+	Sends                         uint64 // lines written completely to servers
+	ConfigsLoaded, ConfigsInvalid uint64 // configurations that were applied, and that were rejected
+	AcceptRetries                 uint64 // accept calls that failed and were repeated
+	RegisterRetries               uint64 // connections whose registration with the event loop failed at first
+	DialRetries                   uint64 // dials repeated because this machine was short of a resource
 
 	refused, retried, closed, violations countsByLabel
 }
 
-// countsByLabel counts by a reason.
+// countsByLabel counts events by the value of one label.
 type countsByLabel map[string]uint64
 
-func (r *countsByLabel) increment(why string) {
-	if *r == nil {
-		*r = countsByLabel{}
+func (counts *countsByLabel) increment(label string) {
+	if *counts == nil {
+		*counts = countsByLabel{}
 	}
-	(*r)[why]++
+	(*counts)[label]++
 }
 
-// CountRefused counts a request that was answered with no effect promised, by why.
-func (c *Counters) CountRefused(why string) { c.refused.increment(why) }
+// CountRefused counts a request that was refused with the promise that it had no effect, by reason.
+func (c *Counters) CountRefused(reason string) { c.refused.increment(reason) }
 
-// CountRetried counts an attempt that another followed, by how it ended.
+// CountRetried counts an attempt that was followed by another, by its outcome.
 func (c *Counters) CountRetried(outcome string) { c.retried.increment(outcome) }
 
-// CountClosed counts a standing connection that ended, by who ended it.
-func (c *Counters) CountClosed(by string) { c.closed.increment(by) }
+// CountClosed counts an established connection that ended, by the side that ended it.
+func (c *Counters) CountClosed(side string) { c.closed.increment(side) }
 
-// CountViolation counts an action that a rule forbids, by the rule: each is a fault of this program.
+// CountViolation counts an action that a rule forbids, by rule. Each is a bug in this program.
 func (c *Counters) CountViolation(rule string) { c.violations.increment(rule) }
 
-// AddClass has a class told of before anybody came with it.
+// AddClass returns a class's request counts by ending. It creates them if necessary, so that the metrics contain the class
+// before its first request.
 func (c *Counters) AddClass(class string) *[endingCount]uint64 {
 	if c.classes == nil {
 		c.classes = map[string]*[endingCount]uint64{}
 	}
-	row := c.classes[class]
-	if row == nil {
-		row = new([endingCount]uint64)
-		c.classes[class] = row
+	byEnding := c.classes[class]
+	if byEnding == nil {
+		byEnding = new([endingCount]uint64)
+		c.classes[class] = byEnding
 	}
-	return row
+	return byEnding
 }
 
-// CountRequest counts one request of a class.
-func (c *Counters) CountRequest(class string, e Ending) { c.AddClass(class)[e]++ }
+// CountRequest counts a request of a class that ended.
+func (c *Counters) CountRequest(class string, ending Ending) { c.AddClass(class)[ending]++ }
 
-// Gauges is what holds at this moment.
+// Gauges are the current values at one moment.
 type Gauges struct {
-	Ready     bool // this process can serve
-	Current   int  // requests taken and not ended
+	Ready     bool // whether this process can serve
+	Current   int  // requests accepted and not ended
 	Listed    int  // servers in the list
-	Unhealthy int  // those of them that nothing new is sent to now
+	Unhealthy int  // listed servers that currently get nothing new
 }
 
-// Snapshot are a copy of the counts beside what held then. They are not changed any more.
+// Snapshot is an immutable copy of the counters, with the gauges at that moment.
 type Snapshot struct {
 	Gauges
 	counters   Counters
-	classNames []string // of the classes, in their order
+	classNames []string // sorted
 }
 
-// Snapshot takes the figures as they are.
+// Snapshot copies the counters.
 func (c *Counters) Snapshot(now Gauges) *Snapshot {
-	f := &Snapshot{Gauges: now, counters: *c, classNames: make([]string, 0, len(c.classes))}
-	for _, r := range []*countsByLabel{&f.counters.refused, &f.counters.retried, &f.counters.closed, &f.counters.violations} {
-		*r = maps.Clone(*r)
+	snapshot := &Snapshot{Gauges: now, counters: *c, classNames: make([]string, 0, len(c.classes))}
+	for _, counts := range []*countsByLabel{&snapshot.counters.refused, &snapshot.counters.retried, &snapshot.counters.closed, &snapshot.counters.violations} {
+		*counts = maps.Clone(*counts)
 	}
-	f.counters.classes = make(map[string]*[endingCount]uint64, len(c.classes))
-	for name, row := range c.classes {
-		copied := *row
-		f.counters.classes[name] = &copied
-		f.classNames = append(f.classNames, name)
+	snapshot.counters.classes = make(map[string]*[endingCount]uint64, len(c.classes))
+	for name, byEnding := range c.classes {
+		copied := *byEnding
+		snapshot.counters.classes[name] = &copied
+		snapshot.classNames = append(snapshot.classNames, name)
 	}
-	slices.Sort(f.classNames)
-	return f
+	slices.Sort(snapshot.classNames)
+	return snapshot
 }
 
+// metricPrefix begins the name of each metric.
 const metricPrefix = "edge_router_"
 
-// labelEscaper guards against a class whose name would end its own line.
+// labelEscaper escapes label values, which would otherwise break the line, such as a class's name with a quote in it.
 var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// Text is how the figures are fetched: Prometheus' text format.
-func (f *Snapshot) Text() []byte {
-	var b bytes.Buffer
-	kind := func(name, kind string) { fmt.Fprintf(&b, "# TYPE %s%s %s\n", metricPrefix, name, kind) }
-	one := func(name, of string, x uint64) {
-		kind(name, of)
-		fmt.Fprintf(&b, "%s%s %d\n", metricPrefix, name, x)
+// Text returns the metrics in Prometheus' text format.
+func (s *Snapshot) Text() []byte {
+	var out bytes.Buffer
+	writeType := func(name, kind string) { fmt.Fprintf(&out, "# TYPE %s%s %s\n", metricPrefix, name, kind) }
+	writeMetric := func(name, kind string, value uint64) {
+		writeType(name, kind)
+		fmt.Fprintf(&out, "%s%s %d\n", metricPrefix, name, value)
 	}
-	kind("transactions", "counter")
-	for _, name := range f.classNames {
-		for e, word := range endingNames {
-			fmt.Fprintf(&b, "%stransactions{group=\"%s\",state=\"%s\"} %d\n", metricPrefix, labelEscaper.Replace(name), word, f.counters.classes[name][e])
+	writeType("transactions", "counter")
+	for _, name := range s.classNames {
+		for ending, state := range endingNames {
+			fmt.Fprintf(&out, "%stransactions{group=\"%s\",state=\"%s\"} %d\n", metricPrefix, labelEscaper.Replace(name), state, s.counters.classes[name][ending])
 		}
 	}
-	one("sends", "counter", f.counters.Sends)
-	one("conf_loaded", "counter", f.counters.ConfigsLoaded)
-	one("conf_invalid", "counter", f.counters.ConfigsInvalid)
-	one("accept_retries", "counter", f.counters.AcceptRetries)
-	one("register_retries", "counter", f.counters.RegisterRetries)
-	one("dial_retries", "counter", f.counters.DialRetries)
-	by := func(name, key string, counted countsByLabel) {
-		kind(name, "counter")
-		for _, why := range slices.Sorted(maps.Keys(counted)) {
-			fmt.Fprintf(&b, "%s%s{%s=\"%s\"} %d\n", metricPrefix, name, key, labelEscaper.Replace(why), counted[why])
+	writeMetric("sends", "counter", s.counters.Sends)
+	writeMetric("conf_loaded", "counter", s.counters.ConfigsLoaded)
+	writeMetric("conf_invalid", "counter", s.counters.ConfigsInvalid)
+	writeMetric("accept_retries", "counter", s.counters.AcceptRetries)
+	writeMetric("register_retries", "counter", s.counters.RegisterRetries)
+	writeMetric("dial_retries", "counter", s.counters.DialRetries)
+	writeByLabel := func(name, key string, counts countsByLabel) {
+		writeType(name, "counter")
+		for _, value := range slices.Sorted(maps.Keys(counts)) {
+			fmt.Fprintf(&out, "%s%s{%s=\"%s\"} %d\n", metricPrefix, name, key, labelEscaper.Replace(value), counts[value])
 		}
 	}
-	by("refused", "reason", f.counters.refused)
-	by("retried", "outcome", f.counters.retried)
-	by("closed", "by", f.counters.closed)
-	by("violations", "rule", f.counters.violations)
-	one("current", "gauge", uint64(f.Current))
-	one("cluster_size", "gauge", uint64(f.Listed))
-	one("cluster_unhealthy", "gauge", uint64(f.Unhealthy))
-	return b.Bytes()
+	writeByLabel("refused", "reason", s.counters.refused)
+	writeByLabel("retried", "outcome", s.counters.retried)
+	writeByLabel("closed", "by", s.counters.closed)
+	writeByLabel("violations", "rule", s.counters.violations)
+	writeMetric("current", "gauge", uint64(s.Current))
+	writeMetric("cluster_size", "gauge", uint64(s.Listed))
+	writeMetric("cluster_unhealthy", "gauge", uint64(s.Unhealthy))
+	return out.Bytes()
 }
