--- a/cmd/hatchproxy/faults_test.go
+++ b/cmd/hatchproxy/faults_test.go
@@ -229,7 +229,7 @@
 	p := launchOptions{serverAnswer: "UP a", faultGroups: []sysfault.Call{sysfault.Accept}, address: taken.Addr().String()}.start(t)
 	require.Eventually(t, func() bool {
 		text, err := os.ReadFile(p.logPath)
-		return err == nil && strings.Contains(string(text), "listening fails")
+		return err == nil && strings.Contains(string(text), "cannot listen on the address, retrying")
 	}, 3*time.Second, 5*time.Millisecond)
 	require.NoError(t, p.command.Process.Signal(syscall.SIGTERM))
 	select {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,7 +1,7 @@
-// Package control lets operators and agents ask an instance what it sees and give it orders: HTTP and JSON on a Unix
-// socket or a loopback address. It is off unless an address is given. It owns its sockets and goroutines; what it
-// needs of the instance it asks through a surface, whose calls are bounded in number and time, so that nobody who asks
-// can hold the loop up.
+// Package control is the control API, through which operators and agents query an instance's status and give it orders. It
+// speaks HTTP and JSON on a Unix socket or a loopback address, and is off unless an address is configured. The server has
+// its own sockets and goroutines. It reaches the instance through the Instance interface; these calls are limited in number
+// and time, so that no caller can block the instance's event loop.
 package control
 
 import (
@@ -25,10 +25,11 @@
 	"hatchproxy/orders"
 )
 
-// ProtocolVersion is the control protocol's. Paths begin with it; another one is answered with this one's number.
+// ProtocolVersion is the version of the control protocol. Every path begins with it; a request with another version gets an
+// error that contains this number.
 const ProtocolVersion = 1
 
-// Status is what an instance tells of itself. Times are Unix microseconds.
+// Status is the status of an instance. StartedMicros and NowMicros are Unix times in microseconds.
 type Status struct {
 	ProtocolVersion int            `json:"control"`
 	Name            string         `json:"name"`
@@ -36,29 +37,30 @@
 	PID             int            `json:"pid"`
 	StartedMicros   int64          `json:"started"`
 	NowMicros       int64          `json:"now"`
-	ConfigHash      string         `json:"config"` // the configuration's hash
+	ConfigHash      string         `json:"config"`
 	ListenAddress   string         `json:"listen"`
 	Ready           bool           `json:"ready"`
 	Leaving         bool           `json:"leaving"`
-	ListVersion     int64          `json:"list"`     // its version; -1 for none
-	ListAgeMicros   int64          `json:"list_age"` // microseconds since it was last told; -1 for never
+	ListVersion     int64          `json:"list"`     // version of the server list; -1 if there is none
+	ListAgeMicros   int64          `json:"list_age"` // time since the list was last received; -1 if it never was
 	Clients         int            `json:"clients"`
 	Standing        int            `json:"standing"`
 	Sockets         int            `json:"sockets"`
-	Term            uint64         `json:"term"` // the highest author's term heard
+	Term            uint64         `json:"term"` // highest term of an author of orders that was received
 	Orders          []HeldOrder    `json:"orders"`
 	Servers         []ServerStatus `json:"servers"`
 
-	RefusedByLimit map[string]uint64 `json:"limits,omitempty"` // how many were turned away, by what, since the start
+	RefusedByLimit map[string]uint64 `json:"limits,omitempty"` // clients refused since the start, by limit
 }
 
-// HeldOrder is an order that an instance goes on with.
+// HeldOrder is an order in force at an instance, with the state to which it sets its server.
 type HeldOrder struct {
 	orders.Order
 	State string `json:"state"`
 }
 
-// ServerStatus is what an instance sees of a server.
+// ServerStatus is a server's status as an instance sees it. Listed is the state without orders; Ordered says whether an
+// order changes it.
 type ServerStatus struct {
 	UID              string  `json:"uid"`
 	Endpoint         string  `json:"endpoint"`
@@ -69,13 +71,14 @@
 	Standing         int     `json:"standing"`
 	Pending          int     `json:"pending"`
 	Failures         float64 `json:"failures"`
-	PassedOverReason string  `json:"passed_over,omitempty"` // why, if it is
+	PassedOverReason string  `json:"passed_over,omitempty"` // why the server gets nothing new; empty if it does
 	Pace             float64 `json:"pace"`
 	ProbeMicros      int64   `json:"probe_us"`
 	Cold             bool    `json:"cold"`
 }
 
-// Instance is what the control needs of an instance. Its calls come from any goroutine and end with their context.
+// Instance is what the control API needs of an instance. Its methods are called from any goroutine and return when their
+// context ends.
 type Instance interface {
 	Status(ctx context.Context) (Status, error)
 	ApplyOrder(ctx context.Context, o orders.Order) (orders.Answer, error)
@@ -85,21 +88,22 @@
 }
 
 const (
-	// maxConns and mostCalls bound who asks at once; an agent and some operators need a few of each.
+	// maxConns and maxConcurrentCalls limit simultaneous use. An agent and some operators need a few of each.
 	maxConns           = 32
 	maxConcurrentCalls = 8
-	// maxBodyBytes and mostHeader bound a call's size: an order is some hundred bytes.
+	// maxBodyBytes and maxHeaderBytes limit a request's size. An order has a few hundred bytes.
 	maxBodyBytes   = 16 << 10
 	maxHeaderBytes = 8 << 10
-	// ioTimeout is how long a call may take to be sent, and its answer to be read; answering how long the loop may take.
+	// ioTimeout limits how long a caller may take to send a request, and to read the response; answerTimeout limits how
+	// long the instance may take to answer.
 	ioTimeout     = 5 * time.Second
 	answerTimeout = 2 * time.Second
-	// maxCallsPerSecond bounds the calls that reach the loop in a second, and as many at once: a status takes the loop some tens
-	// of microseconds with some hundred servers.
+	// maxCallsPerSecond limits the rate of calls to the instance, and their burst. A status occupies the event loop for some
+	// tens of microseconds with a few hundred servers.
 	maxCallsPerSecond = 100
 )
 
-// HTTPServer is a running control surface.
+// HTTPServer serves the control API.
 type HTTPServer struct {
 	httpServer  *http.Server
 	instance    Instance
@@ -109,88 +113,90 @@
 	done        chan struct{}
 }
 
-// Start starts one at "unix:PATH" or at a loopback address with a port.
-func Start(address string, s Instance, log *slog.Logger) (*HTTPServer, error) {
-	l, socket, err := openListener(address, log)
+// Start starts a server at address: "unix:PATH", or a loopback address with a port.
+func Start(address string, instance Instance, log *slog.Logger) (*HTTPServer, error) {
+	listener, socketPath, err := openListener(address, log)
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
-	c := &HTTPServer{instance: s, rateLimiter: rate.NewLimiter(maxCallsPerSecond, maxCallsPerSecond), callSlots: make(chan struct{}, maxConcurrentCalls), socketPath: socket,
+	s := &HTTPServer{instance: instance, rateLimiter: rate.NewLimiter(maxCallsPerSecond, maxCallsPerSecond), callSlots: make(chan struct{}, maxConcurrentCalls), socketPath: socketPath,
 		done: make(chan struct{})}
-	c.httpServer = &http.Server{
-		Handler: c.routes(), ReadTimeout: ioTimeout, WriteTimeout: ioTimeout, IdleTimeout: time.Minute, MaxHeaderBytes: maxHeaderBytes,
+	s.httpServer = &http.Server{
+		Handler: s.routes(), ReadTimeout: ioTimeout, WriteTimeout: ioTimeout, IdleTimeout: time.Minute, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	go func() {
-		defer close(c.done)
-		if err := c.httpServer.Serve(&limitedListener{Listener: l, slots: make(chan struct{}, maxConns)}); !errors.Is(err, http.ErrServerClosed) {
-			log.Error("the control surface has ended", "error", err)
+		defer close(s.done)
+		if err := s.httpServer.Serve(&limitedListener{Listener: listener, slots: make(chan struct{}, maxConns)}); !errors.Is(err, http.ErrServerClosed) {
+			log.Error("the control API has ended", "error", err)
 		}
 	}()
 	log.Info("control", "address", address)
-	return c, nil
+	return s, nil
 }
 
-// Close ends it.
-func (c *HTTPServer) Close() {
-	_ = c.httpServer.Close()
-	<-c.done
-	if c.socketPath != "" {
-		_ = os.Remove(c.socketPath)
+// Close stops the server, closes its connections and removes its Unix socket.
+func (s *HTTPServer) Close() {
+	_ = s.httpServer.Close()
+	<-s.done
+	if s.socketPath != "" {
+		_ = os.Remove(s.socketPath)
 	}
 }
 
-func openListener(address string, log *slog.Logger) (l net.Listener, socket string, err error) {
-	path, unix := strings.CutPrefix(address, "unix:")
-	if !unix {
-		at, err := netip.ParseAddrPort(address)
+// openListener listens at address. socketPath is the path of the Unix socket, or "" for TCP.
+func openListener(address string, log *slog.Logger) (listener net.Listener, socketPath string, err error) {
+	path, isUnix := strings.CutPrefix(address, "unix:")
+	if !isUnix {
+		parsed, err := netip.ParseAddrPort(address)
 		if err != nil {
 			return nil, "", fmt.Errorf("%q is neither unix:PATH nor an address with a port: %w", address, err)
 		}
-		if !at.Addr().IsLoopback() {
+		if !parsed.Addr().IsLoopback() {
 			return nil, "", fmt.Errorf("%s is no loopback address", address)
 		}
-		l, err := listen.TCP(context.Background(), address, log)
+		listener, err := listen.TCP(context.Background(), address, log)
 		if err != nil {
 			return nil, "", err
 		}
-		return l, "", nil
+		return listener, "", nil
 	}
-	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
-		_ = c.Close()
+	if conn, err := net.DialTimeout("unix", path, time.Second); err == nil {
+		_ = conn.Close()
 		return nil, "", fmt.Errorf("somebody listens at %s already", path)
 	}
-	// What is left of one that was killed. Guards against taking away anything but a socket.
+	// A process that was killed leaves its socket behind. Anything but a socket must not be removed.
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
 		_ = os.Remove(path)
 	}
-	l, err = listen.Unix(context.Background(), path, log)
+	listener, err = listen.Unix(context.Background(), path, log)
 	if err != nil {
 		return nil, "", err
 	}
 	if err := os.Chmod(path, 0o600); err != nil {
-		_ = l.Close()
+		_ = listener.Close()
 		return nil, "", err
 	}
-	return l, path, nil
+	return listener, path, nil
 }
 
-// limitedListener takes no more connections than there is room for; the others wait in the kernel's queue.
+// limitedListener accepts no more connections at a time than there are slots; further ones wait in the kernel's queue.
 type limitedListener struct {
 	net.Listener
 	slots chan struct{}
 }
 
-func (b *limitedListener) Accept() (net.Conn, error) {
-	b.slots <- struct{}{}
-	c, err := b.Listener.Accept()
+func (l *limitedListener) Accept() (net.Conn, error) {
+	l.slots <- struct{}{}
+	conn, err := l.Listener.Accept()
 	if err != nil {
-		<-b.slots
+		<-l.slots
 		return nil, err
 	}
-	return &limitedConn{Conn: c, slots: b.slots}, nil
+	return &limitedConn{Conn: conn, slots: l.slots}, nil
 }
 
+// limitedConn is a connection that holds a slot of its listener until it is closed.
 type limitedConn struct {
 	net.Conn
 	once  sync.Once
@@ -202,33 +208,34 @@
 	return c.Conn.Close()
 }
 
-// statusError is an answer that says no, with the status that goes with it.
+// statusError is an error with the HTTP status to answer it with.
 type statusError struct {
 	status int
 	reason string
 }
 
-func (f statusError) Error() string { return f.reason }
+func (e statusError) Error() string { return e.reason }
 
-func (c *HTTPServer) routes() http.Handler {
+// routes returns the handler of all paths.
+func (s *HTTPServer) routes() http.Handler {
 	mux := http.NewServeMux()
-	v := fmt.Sprintf("/v%d", ProtocolVersion)
-	mux.HandleFunc("GET "+v+"/status", c.handler(func(ctx context.Context, _ []byte) (any, error) { return c.instance.Status(ctx) }))
-	mux.HandleFunc("POST "+v+"/orders", c.handler(func(ctx context.Context, body []byte) (any, error) {
-		var o orders.Order
-		if err := decode(body, &o); err != nil {
+	prefix := fmt.Sprintf("/v%d", ProtocolVersion)
+	mux.HandleFunc("GET "+prefix+"/status", s.handler(func(ctx context.Context, _ []byte) (any, error) { return s.instance.Status(ctx) }))
+	mux.HandleFunc("POST "+prefix+"/orders", s.handler(func(ctx context.Context, body []byte) (any, error) {
+		var order orders.Order
+		if err := decode(body, &order); err != nil {
 			return nil, err
 		}
-		return c.instance.ApplyOrder(ctx, o)
+		return s.instance.ApplyOrder(ctx, order)
 	}))
-	mux.HandleFunc("POST "+v+"/reload", c.handler(func(ctx context.Context, _ []byte) (any, error) { return doneAnswer, c.instance.Reload(ctx) }))
-	mux.HandleFunc("POST "+v+"/leave", c.handler(func(ctx context.Context, _ []byte) (any, error) { return doneAnswer, c.instance.Leave(ctx) }))
-	mux.HandleFunc("POST "+v+"/level", c.handler(func(ctx context.Context, body []byte) (any, error) {
-		var wanted struct{ Level slog.Level }
-		if err := decode(body, &wanted); err != nil {
+	mux.HandleFunc("POST "+prefix+"/reload", s.handler(func(ctx context.Context, _ []byte) (any, error) { return doneAnswer, s.instance.Reload(ctx) }))
+	mux.HandleFunc("POST "+prefix+"/leave", s.handler(func(ctx context.Context, _ []byte) (any, error) { return doneAnswer, s.instance.Leave(ctx) }))
+	mux.HandleFunc("POST "+prefix+"/level", s.handler(func(ctx context.Context, body []byte) (any, error) {
+		var request struct{ Level slog.Level }
+		if err := decode(body, &request); err != nil {
 			return nil, err
 		}
-		return doneAnswer, c.instance.SetLogLevel(ctx, wanted.Level)
+		return doneAnswer, s.instance.SetLogLevel(ctx, request.Level)
 	}))
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		writeJSON(w, http.StatusNotFound, map[string]any{"error": fmt.Sprintf("%s %.100s is nothing here: control protocol %d is spoken", r.Method, r.URL.Path, ProtocolVersion),
@@ -237,22 +244,26 @@
 	return mux
 }
 
+// doneAnswer answers calls that have no result.
 var doneAnswer = map[string]bool{"done": true}
 
-// decode reads a body strictly: a word that is unknown here means something where the other side is newer.
+// decode reads a body strictly. A field that this version does not know has a meaning to a newer caller, so it must not be
+// ignored.
 func decode(body []byte, into any) error {
-	d := json.NewDecoder(strings.NewReader(string(body)))
-	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
+	decoder := json.NewDecoder(strings.NewReader(string(body)))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
 		return statusError{http.StatusBadRequest, fmt.Sprintf("control protocol %d does not understand this: %v", ProtocolVersion, err)}
 	}
-	if _, err := d.Token(); err != io.EOF {
+	if _, err := decoder.Token(); err != io.EOF {
 		return statusError{http.StatusBadRequest, "more came after the call"}
 	}
 	return nil
 }
 
-func (c *HTTPServer) handler(call func(ctx context.Context, body []byte) (any, error)) http.HandlerFunc {
+// handler returns a handler that calls the instance, within the limits, and answers with the result as JSON or with the
+// error in the field "error".
+func (s *HTTPServer) handler(call func(ctx context.Context, body []byte) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		if err != nil {
@@ -260,33 +271,34 @@
 			return
 		}
 		select {
-		case c.callSlots <- struct{}{}:
-			defer func() { <-c.callSlots }()
+		case s.callSlots <- struct{}{}:
+			defer func() { <-s.callSlots }()
 		default:
 			writeJSON(w, http.StatusTooManyRequests, map[string]string{"error": "too many calls at once"})
 			return
 		}
-		if !c.rateLimiter.Allow() {
+		if !s.rateLimiter.Allow() {
 			writeJSON(w, http.StatusTooManyRequests, map[string]string{"error": "too many calls in a second"})
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 		defer cancel()
 		result, err := call(ctx, body)
-		var f statusError
+		var failure statusError
 		switch {
 		case err == nil:
 			writeJSON(w, http.StatusOK, result)
-		case errors.As(err, &f):
-			writeJSON(w, f.status, map[string]string{"error": f.reason})
+		case errors.As(err, &failure):
+			writeJSON(w, failure.status, map[string]string{"error": failure.reason})
 		default:
 			writeJSON(w, http.StatusServiceUnavailable, map[string]string{"error": err.Error()})
 		}
 	}
 }
 
-func writeJSON(w http.ResponseWriter, status int, what any) {
+// writeJSON sends value as the response's body.
+func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(what) // a failure is the other side's
+	_ = json.NewEncoder(w).Encode(value) // fails only if the caller is gone or too slow
 }
--- a/internal/listen/filelistener.go
+++ b/internal/listen/filelistener.go
@@ -11,8 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// FileListener is a listener that hands out bare descriptors. What the runtime does with a connection that it accepts may fail,
-// and it closes the connection then; a descriptor is kept until somebody has it.
+// FileListener is a listener that returns file descriptors. The runtime's own Accept registers the connection with its
+// poller, and closes the connection if that fails; the descriptors of a FileListener are not registered, so that the caller
+// can retry.
 type FileListener struct {
 	file    *os.File
 	rawConn syscall.RawConn
@@ -20,43 +21,43 @@
 	acceptRetrier
 }
 
-// NewFileListener takes a listener over. It fails where its descriptor cannot be duplicated just now; then the listener stays
-// the caller's.
-func NewFileListener(l *net.TCPListener, log *slog.Logger) (*FileListener, error) {
-	socket, err := l.File()
+// NewFileListener takes over a listener. If it fails, because the descriptor cannot be duplicated, the listener still belongs
+// to the caller.
+func NewFileListener(listener *net.TCPListener, log *slog.Logger) (*FileListener, error) {
+	file, err := listener.File()
 	if err != nil {
 		return nil, err
 	}
-	raw, err := socket.SyscallConn()
+	rawConn, err := file.SyscallConn()
 	if err != nil {
-		_ = socket.Close()
+		_ = file.Close()
 		return nil, err
 	}
-	address := l.Addr()
-	_ = l.Close() // the duplicate listens on
-	return &FileListener{file: socket, rawConn: raw, acceptRetrier: acceptRetrier{log: log, address: address}}, nil
+	address := listener.Addr()
+	_ = listener.Close() // the duplicate keeps listening
+	return &FileListener{file: file, rawConn: rawConn, acceptRetrier: acceptRetrier{log: log, address: address}}, nil
 }
 
-// Accept waits for a connection and returns its descriptor, which does not block. It makes a failed call again, at a
-// growing interval, until the listener is closed or its deadline has come.
+// Accept waits for a connection and returns its descriptor, which is non-blocking. It retries failed calls, at growing
+// intervals, until the listener is closed or its deadline passes.
 func (f *FileListener) Accept() (*os.File, error) {
 	fd := -1
 	err := f.retry(func() error {
 		if f.closed.Load() {
 			return net.ErrClosed
 		}
-		var failed error
+		var acceptErr error
 		err := f.rawConn.Read(func(listener uintptr) (done bool) {
-			fd, failed = acceptOne(int(listener))
-			return failed != unix.EAGAIN
+			fd, acceptErr = acceptOne(int(listener))
+			return acceptErr != unix.EAGAIN
 		})
-		if f.closed.Load() && (err != nil || failed != nil) {
+		if f.closed.Load() && (err != nil || acceptErr != nil) {
 			return net.ErrClosed
 		}
 		if err != nil {
-			return err // the wait, which says more than that nobody had come
+			return err // waiting failed; acceptErr is only EAGAIN
 		}
-		return failed
+		return acceptErr
 	})
 	if err != nil {
 		return nil, err
@@ -64,20 +65,21 @@
 	return os.NewFile(uintptr(fd), "client"), nil
 }
 
+// acceptOne accepts a connection that is waiting, or fails with EAGAIN if there is none.
 func acceptOne(listener int) (fd int, err error) {
 	for {
 		fd, _, err = unix.Accept4(listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-		if err == unix.EINTR || err == unix.ECONNABORTED { // the latter is a client that has left
+		if err == unix.EINTR || err == unix.ECONNABORTED { // ECONNABORTED: the client has left already
 			continue
 		}
 		return fd, err
 	}
 }
 
-// SetDeadline has Accept fail from a time on; the zero time takes that back.
+// SetDeadline makes Accept fail after a time; the zero time removes the deadline.
 func (f *FileListener) SetDeadline(at time.Time) error { return f.file.SetReadDeadline(at) }
 
-// Close ends the listener.
+// Close closes the listener; a waiting Accept returns net.ErrClosed.
 func (f *FileListener) Close() error {
 	f.closed.Store(true)
 	return f.file.Close()
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,4 +1,5 @@
-// Package listen opens listeners that outlast system calls which fail for a moment: only their owner ends them.
+// Package listen opens listeners that survive transient failures of system calls: they end only when their owner closes
+// them.
 package listen
 
 import (
@@ -16,79 +17,83 @@
 )
 
 const (
-	// listenTimeout is how long an address is tried for at the start: a process that replaces another has 30 s until it must be
-	// ready, and a wrong address should be told soon.
+	// listenTimeout limits how long opening a listener is retried. A process that replaces another has 30 s until it must be
+	// ready, and an address that cannot be used should be reported soon.
 	listenTimeout = 5 * time.Second
-	// minRetryWait and longestRetry pace the retries: who waits at the door is served soon after the failure has passed.
+	// minRetryWait and maxRetryWait bound the wait between retries. They are short, so that waiting clients are accepted
+	// soon after the failure has passed.
 	minRetryWait = 2 * time.Millisecond
 	maxRetryWait = 25 * time.Millisecond
 )
 
-// newBackoff is how retries are paced.
+// newBackoff returns the backoff between retries.
 func newBackoff() transient.Backoff {
 	return transient.Backoff{Initial: minRetryWait, Max: maxRetryWait}
 }
 
-// TCP listens on an address. A call that fails for a moment is made again for some seconds; so is one that finds the
-// address taken, as by a process that is about to end. Connections have no keep-alive.
+// TCP listens on a TCP address. For up to listenTimeout, it retries if the system is short of a resource or if the address is
+// in use, for example by a process that is about to end. The connections have no keep-alive.
 func TCP(ctx context.Context, address string, log *slog.Logger) (*Listener, error) {
 	return open(ctx, net.ListenConfig{KeepAlive: -1}, "tcp", address, log)
 }
 
-// ReusePortTCP does the same where another process may listen on the address as well, as the one does that is being replaced.
+// ReusePortTCP is like TCP, but allows another process to listen on the same address: the process that is being replaced.
 func ReusePortTCP(ctx context.Context, address string, log *slog.Logger) (*Listener, error) {
 	return open(ctx, net.ListenConfig{KeepAlive: -1, Control: setReusePort}, "tcp", address, log)
 }
 
-// Unix listens on a socket in the file system.
+// Unix listens on a Unix socket, with the same retries as TCP.
 func Unix(ctx context.Context, path string, log *slog.Logger) (*Listener, error) {
 	return open(ctx, net.ListenConfig{}, "unix", path, log)
 }
 
+// open listens on an address, with retries. It logs the first failure.
 func open(ctx context.Context, config net.ListenConfig, network, address string, log *slog.Logger) (*Listener, error) {
 	ctx, cancel := context.WithTimeout(ctx, listenTimeout)
 	defer cancel()
-	var l net.Listener
-	told := false
+	var listener net.Listener
+	logged := false
 	err := transient.Retry(ctx, newBackoff(), isTransient, func() (err error) {
-		if l, err = config.Listen(ctx, network, address); err != nil && !told {
-			told = true
-			log.Warn("listening fails", "address", address, "error", err)
+		if listener, err = config.Listen(ctx, network, address); err != nil && !logged {
+			logged = true
+			log.Warn("cannot listen on the address, retrying", "address", address, "error", err)
 		}
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	return NewListener(l, log), nil
+	return NewListener(listener, log), nil
 }
 
+// isTransient reports whether opening a listener is worth a retry after err.
 func isTransient(err error) bool { return transient.IsResourceShortage(err) || isAddressInUse(err) }
 
-// setReusePort lets the next process of a replacement listen while this one still does.
-func setReusePort(_, _ string, raw syscall.RawConn) error {
-	var failed error
-	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+// setReusePort sets SO_REUSEPORT, so that a process and its successor can listen at the same time.
+func setReusePort(_, _ string, conn syscall.RawConn) error {
+	var optionErr error
+	err := conn.Control(func(fd uintptr) {
+		optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
 
-// Listener is a listener whose Accept returns an error only where its owner closed it or set its deadline.
+// Listener is a listener whose Accept returns an error only if its owner closed it or set a deadline.
 type Listener struct {
 	net.Listener
 	acceptRetrier
 }
 
-// NewListener has a listener outlast calls that fail.
+// NewListener returns a listener that retries failed accepts of l.
 func NewListener(l net.Listener, log *slog.Logger) *Listener {
 	return &Listener{Listener: l, acceptRetrier: acceptRetrier{log: log, address: l.Addr()}}
 }
 
-// Accept waits for a connection. It makes a failed call again, at a growing interval, until the listener is closed.
+// Accept waits for a connection. It retries failed calls, at growing intervals, until the listener is closed or its deadline
+// passes.
 func (l *Listener) Accept() (conn net.Conn, err error) {
 	err = l.retry(func() error {
 		conn, err = l.Listener.Accept()
@@ -97,23 +102,24 @@
 	return conn, err
 }
 
-// acceptRetrier makes failed accepts again and counts them.
+// acceptRetrier retries failed accepts and counts the failures.
 type acceptRetrier struct {
 	log      *slog.Logger
 	address  net.Addr
 	failures atomic.Uint64
 }
 
-// Failures counts the accepts that failed and were made again.
+// Failures returns how many accepts failed and were retried.
 func (r *acceptRetrier) Failures() uint64 { return r.failures.Load() }
 
+// retry calls accept until it succeeds or the listener is closed. It logs the first failure and the success after it.
 func (r *acceptRetrier) retry(accept func() error) error {
-	wait := newBackoff()
-	for tries := 0; ; tries++ {
+	backoff := newBackoff()
+	for failures := 0; ; failures++ {
 		err := accept()
 		if err == nil {
-			if tries > 0 {
-				r.log.Info("accepting again", "address", r.address.String(), "failures", tries)
+			if failures > 0 {
+				r.log.Info("accept succeeds again", "address", r.address.String(), "failures", failures)
 			}
 			return nil
 		}
@@ -121,11 +127,12 @@
 			return err
 		}
 		r.failures.Add(1)
-		if tries == 0 {
-			r.log.Warn("accept fails, it is tried again", "address", r.address.String(), "error", err)
+		if failures == 0 {
+			r.log.Warn("accept failed, retrying", "address", r.address.String(), "error", err)
 		}
-		_ = wait.Wait(context.Background()) // which never ends
+		_ = backoff.Wait(context.Background()) // this context never ends
 	}
 }
 
+// isAddressInUse reports whether another socket has the address.
 func isAddressInUse(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
--- a/internal/listen/listen_test.go
+++ b/internal/listen/listen_test.go
@@ -15,7 +15,7 @@
 	"hatchproxy/internal/listen"
 )
 
-// failingListener is a listener whose first accepts fail.
+// failingListener is a listener whose first accepts fail with the given errors.
 type failingListener struct {
 	net.Listener
 	errors []error
@@ -30,24 +30,24 @@
 	return f.Listener.Accept()
 }
 
-func TestAFailedAcceptIsMadeAgainAndCounted(t *testing.T) {
+func TestFailedAcceptsAreRetriedAndCounted(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	errnos := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EPERM}
-	kept := listen.NewListener(&failingListener{l, errnos}, slog.New(slog.DiscardHandler))
+	retrying := listen.NewListener(&failingListener{l, errnos}, slog.New(slog.DiscardHandler))
 	client, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
 	defer client.Close()
-	conn, err := kept.Accept()
+	conn, err := retrying.Accept()
 	require.NoError(t, err)
 	require.NoError(t, conn.Close())
-	require.EqualValues(t, len(errnos), kept.Failures())
-	require.NoError(t, kept.Close())
-	_, err = kept.Accept()
-	require.ErrorIs(t, err, net.ErrClosed, "its owner ends it")
+	require.EqualValues(t, len(errnos), retrying.Failures())
+	require.NoError(t, retrying.Close())
+	_, err = retrying.Accept()
+	require.ErrorIs(t, err, net.ErrClosed, "its owner closed it")
 }
 
-func TestADescriptorListenerEndsWithItsOwnerAlone(t *testing.T) {
+func TestFileListenerEndsOnlyWhenClosed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := l.Addr().String()
@@ -62,7 +62,7 @@
 
 	require.NoError(t, files.SetDeadline(time.Unix(1, 0)))
 	_, err = files.Accept()
-	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "it is paused")
+	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "a deadline pauses it")
 	require.NoError(t, files.SetDeadline(time.Time{}))
 	ended := make(chan error)
 	go func() {
@@ -71,10 +71,10 @@
 	}()
 	time.AfterFunc(20*time.Millisecond, func() { _ = files.Close() })
 	require.ErrorIs(t, <-ended, net.ErrClosed)
-	require.Zero(t, files.Failures(), "none of it was a failure")
+	require.Zero(t, files.Failures(), "closing and pausing are no failures")
 }
 
-func TestAnAddressThatIsTakenForAMomentIsHadAMomentLater(t *testing.T) {
+func TestListenRetriesWhileTheAddressIsInUse(t *testing.T) {
 	before, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	time.AfterFunc(100*time.Millisecond, func() { _ = before.Close() })
@@ -83,7 +83,7 @@
 	require.NoError(t, l.Close())
 }
 
-func TestAWrongAddressIsToldAtOnce(t *testing.T) {
+func TestAnInvalidAddressFailsAtOnce(t *testing.T) {
 	began := time.Now()
 	_, err := listen.TCP(context.Background(), "127.0.0.1:none", slog.New(slog.DiscardHandler))
 	require.Error(t, err)
