--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging writes log lines beside whoever logs. A reader of the log that has stopped reading must not hold an event
-// loop up: lines that find no room are dropped and counted.
+// Package logging writes log lines asynchronously, so that a reader of the log that has stopped reading does not block an
+// event loop. Lines for which the queue has no room are dropped and counted.
 package logging
 
 import (
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// maxQueuedLines is how many lines wait to be written at most: some seconds of a busy proxy's log.
+// maxQueuedLines is the size of the queue, enough for some seconds of a busy proxy's log.
 const maxQueuedLines = 4096
 
-// Writer writes to another writer on a goroutine of its own. Its methods may be called from anywhere.
+// Writer writes to another writer on a goroutine of its own. Its methods may be called from any goroutine.
 type Writer struct {
 	out             io.Writer
 	lines           chan []byte
-	dropped         atomic.Uint64 // ever
-	reportedDropped uint64        // of them in the log; the goroutine's own
+	dropped         atomic.Uint64 // total
+	reportedDropped uint64        // of these, how many the log reports; used by the writing goroutine only
 	closeOnce       sync.Once
 	closed          chan struct{} // closed by Close
-	flushed         chan struct{} // closed once all is written after that
+	flushed         chan struct{} // closed once all queued lines are written after Close
 }
 
-// NewWriter starts one.
-func NewWriter(to io.Writer) *Writer {
-	w := &Writer{out: to, lines: make(chan []byte, maxQueuedLines), closed: make(chan struct{}), flushed: make(chan struct{})}
+// NewWriter returns a Writer to out and starts its goroutine.
+func NewWriter(out io.Writer) *Writer {
+	w := &Writer{out: out, lines: make(chan []byte, maxQueuedLines), closed: make(chan struct{}), flushed: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes a line. It never waits and never fails.
+// Write queues a line, or drops it if the queue is full. It never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -41,13 +41,13 @@
 	return len(line), nil
 }
 
-// Dropped counts the lines that found no room.
+// Dropped returns how many lines were dropped.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close waits for what was taken to be written, but no longer than the given time.
-func (w *Writer) Close(within time.Duration) {
+// Close waits until the queued lines are written, but no longer than timeout.
+func (w *Writer) Close(timeout time.Duration) {
 	w.closeOnce.Do(func() { close(w.closed) })
-	timer := time.NewTimer(within)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-w.flushed:
@@ -55,6 +55,7 @@
 	}
 }
 
+// run writes the queued lines until Close is called and the queue is empty.
 func (w *Writer) run() {
 	defer close(w.flushed)
 	for {
@@ -74,7 +75,8 @@
 	}
 }
 
-// writeLine writes a line. A failure is not told: there is nowhere to tell it.
+// writeLine writes a line, after a line that reports newly dropped lines. Failures are ignored, as there is no other place to
+// report them.
 func (w *Writer) writeLine(line []byte) {
 	if dropped := w.dropped.Load(); dropped > w.reportedDropped {
 		_, _ = fmt.Fprintf(w.out, "time=%s level=WARN msg=\"log lines were dropped\" count=%d\n",
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -14,7 +14,7 @@
 	"hatchproxy/internal/logging"
 )
 
-func TestAllThatWasTakenIsWrittenInOrder(t *testing.T) {
+func TestQueuedLinesAreWrittenInOrder(t *testing.T) {
 	var out bytes.Buffer
 	w := logging.NewWriter(&out)
 	want := ""
@@ -28,7 +28,7 @@
 	require.Equal(t, want, out.String())
 }
 
-func TestAWriterThatIsStuckHoldsNobodyUpAndTheLossIsTold(t *testing.T) {
+func TestAStuckReaderDoesNotBlockAndDroppedLinesAreReported(t *testing.T) {
 	reader, writer := io.Pipe()
 	w := logging.NewWriter(writer)
 	for range 10_000 {
@@ -39,8 +39,8 @@
 	began := time.Now()
 	w.Close(50 * time.Millisecond)
 	require.Less(t, time.Since(began), time.Second)
-	in := bufio.NewScanner(reader)
-	for in.Scan() && !strings.Contains(in.Text(), "log lines were dropped") {
+	scanner := bufio.NewScanner(reader)
+	for scanner.Scan() && !strings.Contains(scanner.Text(), "log lines were dropped") {
 	}
-	require.Contains(t, in.Text(), "log lines were dropped")
+	require.Contains(t, scanner.Text(), "log lines were dropped")
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads TOML strictly: what is unknown or of the wrong kind is told with file and line, all unknown
-// names at once, and each with the name that was most likely meant.
+// Package tomlfile reads TOML strictly. Errors name the file and line. All unknown keys are reported at once, each with the
+// known key that was most likely meant.
 package tomlfile
 
 import (
@@ -14,31 +14,31 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Decode reads a text into a struct.
-func Decode(path string, text []byte, into any) error {
-	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
+// Decode decodes the text of the file at path into the struct to which target points.
+func Decode(path string, text []byte, target any) error {
+	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(target)
 	var missing *toml.StrictMissingError
-	var wrong *toml.DecodeError
+	var invalid *toml.DecodeError
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &missing):
 		var faults []error
-		for _, e := range missing.Errors {
-			line, _ := e.Position()
-			faults = append(faults, fmt.Errorf("%s:%d: %s is unknown%s", path, line, strings.Join(e.Key(), "."), suggest(e.Key(), reflect.TypeOf(into))))
+		for _, unknown := range missing.Errors {
+			line, _ := unknown.Position()
+			faults = append(faults, fmt.Errorf("%s:%d: %s is unknown%s", path, line, strings.Join(unknown.Key(), "."), suggest(unknown.Key(), reflect.TypeOf(target))))
 		}
 		return errors.Join(faults...)
-	case errors.As(err, &wrong):
-		line, _ := wrong.Position()
-		return fmt.Errorf("%s:%d: %s", path, line, strings.TrimPrefix(wrong.Error(), "toml: "))
+	case errors.As(err, &invalid):
+		line, _ := invalid.Position()
+		return fmt.Errorf("%s:%d: %s", path, line, strings.TrimPrefix(invalid.Error(), "toml: "))
 	}
-	return fmt.Errorf("%s: %w", locateError(path, text, err, reflect.TypeOf(into)), err)
+	return fmt.Errorf("%s: %w", locateError(path, text, err, reflect.TypeOf(target)), err)
 }
 
-// locateError finds the line of an error that the library tells without one, such as a bare number where a time is wanted: the
-// first line up to which the text gives the same error.
-func locateError(path string, text []byte, err error, into reflect.Type) string {
+// locateError finds the position of an error that the library returns without one, such as a bare number in place of a
+// duration: it is in the first line up to which the text gives the same error.
+func locateError(path string, text []byte, err error, target reflect.Type) string {
 	end := 0
 	for line := 1; end < len(text); line++ {
 		next := bytes.IndexByte(text[end:], '\n')
@@ -46,7 +46,7 @@
 			next = len(text) - end - 1
 		}
 		end += next + 1
-		got := toml.NewDecoder(bytes.NewReader(text[:end])).Decode(reflect.New(elementType(into)).Interface())
+		got := toml.NewDecoder(bytes.NewReader(text[:end])).Decode(reflect.New(elementType(target)).Interface())
 		if got != nil && got.Error() == err.Error() {
 			return fmt.Sprintf("%s:%d", path, line)
 		}
@@ -54,16 +54,17 @@
 	return path
 }
 
-// suggest finds the name that a key's last part was most likely to be: at most a third of its letters differ.
-func suggest(key []string, in reflect.Type) string {
+// suggest returns a hint that names the known key most similar to an unknown one, or "" if none differs by at most a third of
+// the letters. It compares the last part of the keys, within the same table.
+func suggest(key []string, current reflect.Type) string {
 	for _, part := range key[:len(key)-1] {
-		if in = elementType(in); in.Kind() != reflect.Struct {
+		if current = elementType(current); current.Kind() != reflect.Struct {
 			return ""
 		}
 		found := false
-		for i := range in.NumField() {
-			if strings.EqualFold(keyName(in.Field(i)), part) {
-				in, found = in.Field(i).Type, true
+		for i := range current.NumField() {
+			if strings.EqualFold(keyName(current.Field(i)), part) {
+				current, found = current.Field(i).Type, true
 				break
 			}
 		}
@@ -71,15 +72,15 @@
 			return ""
 		}
 	}
-	if in = elementType(in); in.Kind() != reflect.Struct {
+	if current = elementType(current); current.Kind() != reflect.Struct {
 		return ""
 	}
 	last := strings.ToLower(key[len(key)-1])
-	best, least := "", len(last)/3+1
-	for i := range in.NumField() {
-		if n := keyName(in.Field(i)); n != "" {
-			if d := levenshtein.ComputeDistance(last, n); d < least || d == least && best == "" {
-				best, least = n, d
+	best, leastDistance := "", len(last)/3+1
+	for i := range current.NumField() {
+		if name := keyName(current.Field(i)); name != "" {
+			if distance := levenshtein.ComputeDistance(last, name); distance < leastDistance || distance == leastDistance && best == "" {
+				best, leastDistance = name, distance
 			}
 		}
 	}
@@ -89,6 +90,7 @@
 	return fmt.Sprintf("; is %q meant?", best)
 }
 
+// elementType returns the type behind pointers and slices.
 func elementType(t reflect.Type) reflect.Type {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
@@ -96,42 +98,43 @@
 	return t
 }
 
-// keyName is a field's in the file; "" if it has none.
-func keyName(f reflect.StructField) string {
-	tag, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
-	if tag == "-" || !f.IsExported() {
+// keyName returns the key of a struct field in the file; "" if it has none.
+func keyName(field reflect.StructField) string {
+	tag, _, _ := strings.Cut(field.Tag.Get("toml"), ",")
+	if tag == "-" || !field.IsExported() {
 		return ""
 	}
 	if tag != "" {
 		return tag
 	}
-	return strings.ToLower(f.Name)
+	return strings.ToLower(field.Name)
 }
 
-// Positions finds the line of each key; tables of an array have their number in brackets.
+// Positions holds the line of each key in a file. Keys are dotted paths; a table of an array has its index in brackets, as in
+// "pool.product[1].name".
 type Positions struct {
 	path  string
 	lines map[string]int
 }
 
-// FindPositions reads where the keys of a text stand.
+// FindPositions finds the keys in the text of the file at path.
 func FindPositions(path string, text []byte) Positions {
 	lines, counts, table := map[string]int{}, map[string]int{}, ""
-	p := unstable.Parser{}
-	p.Reset(text)
-	for p.NextExpression() {
-		e := p.Expression()
+	parser := unstable.Parser{}
+	parser.Reset(text)
+	for parser.NextExpression() {
+		expression := parser.Expression()
 		var parts []string
 		line := 0
-		for it := e.Key(); it.Next(); {
-			n := it.Node()
-			parts = append(parts, string(n.Data))
+		for keyParts := expression.Key(); keyParts.Next(); {
+			node := keyParts.Node()
+			parts = append(parts, string(node.Data))
 			if line == 0 {
-				line = p.Shape(n.Raw).Start.Line
+				line = parser.Shape(node.Raw).Start.Line
 			}
 		}
 		name := strings.Join(parts, ".")
-		switch e.Kind {
+		switch expression.Kind {
 		case unstable.Table:
 			table = name
 		case unstable.ArrayTable:
@@ -149,10 +152,10 @@
 	return Positions{path, lines}
 }
 
-// At is where a key stands, or the nearest table above it.
+// At returns the file and line of a key, or of the nearest table above it if the key is not in the file.
 func (p Positions) At(key string) string {
 	for name := key; name != ""; {
-		if line, known := p.lines[name]; known {
+		if line, exists := p.lines[name]; exists {
 			return fmt.Sprintf("%s:%d", p.path, line)
 		}
 		name = name[:max(strings.LastIndexByte(name, '.'), 0)]
