--- a/conf/conf.go
+++ b/conf/conf.go
@@ -1,6 +1,7 @@
-// Package conf reads the product's own configuration: TOML that a person writes. It says what the platform's JSON says,
-// in units as people write them, and what that has no words for: limits, logging, the control surface. It is checked
-// whole, all faults at once with file and line, and translated into the same inner form at one place.
+// Package conf reads hatchproxy's own configuration file, which is TOML written by people. It contains what the platform's
+// JSON contains, with units on the values, and also what the JSON has no settings for: limits, logging and the control API.
+// Reading reports all faults at once, with file and line. The file is then converted into the platform's configuration, so
+// that the rest of the program sees one form only.
 package conf
 
 import (
@@ -22,14 +23,16 @@
 	"hatchproxy/logic"
 )
 
-// Span is a time with its unit: "250ms". Size is a number of bytes with its unit: "64MiB". They are structs so that a
-// bare number, of whatever unit, is no such value.
+// Span and Size are values that are written with a unit. They are structs so that a bare number, whose unit would be unclear,
+// is rejected.
 type (
+	// Span is a duration, such as "250ms".
 	Span struct{ time.Duration }
+	// Size is a number of bytes, such as "64MiB".
 	Size struct{ Bytes int64 }
 )
 
-// UnmarshalText reads one.
+// UnmarshalText reads a duration of zero or more.
 func (s *Span) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil || d < 0 {
@@ -39,37 +42,41 @@
 	return nil
 }
 
-// MarshalText writes one.
+// MarshalText writes the duration with its unit.
 func (s Span) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
+// millis returns the duration in milliseconds.
 func (s Span) millis() float64 { return float64(s.Microseconds()) / 1000 }
 
+// micros returns the duration in whole microseconds.
 func (s Span) micros() logic.Micros { return logic.Micros(s.Microseconds()) }
 
+// sizeUnits are the bytes of each unit.
 var sizeUnits = map[string]int64{"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
 
+// sizePattern matches a number and its unit.
 var sizePattern = regexp.MustCompile(`^(\d{1,12})(B|KiB|MiB|GiB)$`)
 
-// UnmarshalText reads one.
+// UnmarshalText reads a size in B, KiB, MiB or GiB.
 func (s *Size) UnmarshalText(text []byte) error {
 	parts := sizePattern.FindSubmatch(text)
 	if parts == nil {
 		return fmt.Errorf("%q is no size such as \"64MiB\"", text)
 	}
-	n, _ := strconv.ParseInt(string(parts[1]), 10, 64) // twelve digits
+	n, _ := strconv.ParseInt(string(parts[1]), 10, 64) // cannot fail with at most 12 digits
 	s.Bytes = n * sizeUnits[string(parts[2])]
 	return nil
 }
 
-// MarshalText writes one.
+// MarshalText writes the size in bytes, with the unit B.
 func (s Size) MarshalText() ([]byte, error) {
 	return []byte(strconv.FormatInt(s.Bytes, 10) + "B"), nil
 }
 
-// File is a configuration. docs/limits.md and examples/hatchproxy.toml tell each name.
+// File is a configuration file. docs/limits.md and examples/hatchproxy.toml describe each key.
 type File struct {
 	Name   string `toml:"name"`
-	Seed   string `toml:"seed,omitempty"` // hexadecimal; drawn at each start if empty
+	Seed   string `toml:"seed,omitempty"` // random seed in hexadecimal; drawn at each start if empty
 	Listen string `toml:"listen"`
 
 	Resources struct {
@@ -84,9 +91,9 @@
 		Level string `toml:"level"`
 	} `toml:"log"`
 	Pool struct {
-		List       string   `toml:"list"` // discovery's address
-		Number     int      `toml:"number"`
-		Of         int      `toml:"of"`
+		List       string   `toml:"list"`   // address of the discovery service
+		Number     int      `toml:"number"` // index of this proxy, below Of
+		Of         int      `toml:"of"`     // number of proxies that share the pool
 		Zones      []string `toml:"zones"`
 		Zone       string   `toml:"zone"`
 		Models     []string `toml:"models"`
@@ -113,7 +120,7 @@
 	positions tomlfile.Positions
 }
 
-// Product is one of the pool's.
+// Product is a product that the pool's servers offer.
 type Product struct {
 	Name    string  `toml:"name"`
 	Repeat  string  `toml:"repeat"`
@@ -125,23 +132,23 @@
 	Gain    float64 `toml:"gain"`
 }
 
-// Limits are what a listener lets in; 0 is no limit.
+// Limits limit what a listener accepts; 0 means no limit.
 type Limits struct {
-	SetUps        float64 `toml:"set-ups"` // a second
+	SetUps        float64 `toml:"set-ups"` // per second
 	Burst         float64 `toml:"burst"`
-	Standing      int     `toml:"standing"` // shared between tenants
-	AddressSetUps float64 `toml:"address-set-ups"`
+	Standing      int     `toml:"standing"`        // established connections, shared between tenants
+	AddressSetUps float64 `toml:"address-set-ups"` // per second and client address
 	AddressBurst  float64 `toml:"address-burst"`
 	RetryShare    float64 `toml:"retry-share"`
 	LongestWait   Span    `toml:"longest-wait"`
 }
 
-// HasAny tells whether there is a limit at all.
+// HasAny reports whether any limit is set.
 func (l Limits) HasAny() bool {
 	return l.SetUps > 0 || l.Standing > 0 || l.AddressSetUps > 0 || l.RetryShare > 0
 }
 
-// NewLimiter makes the limits' gate; nil if there are none.
+// NewLimiter creates a limiter with these limits, or returns nil if none is set.
 func (l Limits) NewLimiter(seed int64) *limits.Limiter {
 	if !l.HasAny() {
 		return nil
@@ -151,21 +158,21 @@
 		MaxWait: l.LongestWait.micros()}).Init(seed)
 }
 
-// Defaults is what holds where a file says nothing.
+// Defaults returns a configuration with the values of all keys that a file may omit.
 func Defaults() *File {
 	f := &File{}
 	f.Resources.Cores, f.Resources.Memory, f.Resources.Sockets = 1, Size{192 << 20}, 1024
 	f.Log.Level = "info"
-	p := &f.Pool
-	p.Of, p.Weights, p.Dispatches, p.Connect = 1, "nominal", 3, Span{250 * time.Millisecond}
-	r := &p.Rules
-	r.AskWithin, r.Grace, r.Start, r.Warm = Span{10 * time.Second}, Span{2 * time.Second}, 0.3, Span{9 * time.Second}
-	r.Multiple, r.Window = 4, Span{3 * time.Second}
+	pool := &f.Pool
+	pool.Of, pool.Weights, pool.Dispatches, pool.Connect = 1, "nominal", 3, Span{250 * time.Millisecond}
+	rules := &pool.Rules
+	rules.AskWithin, rules.Grace, rules.Start, rules.Warm = Span{10 * time.Second}, Span{2 * time.Second}, 0.3, Span{9 * time.Second}
+	rules.Multiple, rules.Window = 4, Span{3 * time.Second}
 	f.Limits.LongestWait = Span{5 * time.Second}
 	return f
 }
 
-// Read reads a file and checks it whole.
+// Read reads and validates the file at path. The error joins all faults.
 func Read(path string) (*File, error) {
 	text, err := transient.ReadFile(path)
 	if err != nil {
@@ -174,7 +181,7 @@
 	return Parse(path, text)
 }
 
-// Parse does the same with a text.
+// Parse is like Read, but gets the file's text; path is only for the errors.
 func Parse(path string, text []byte) (*File, error) {
 	f := Defaults()
 	if err := tomlfile.Decode(path, text, f); err != nil {
@@ -188,144 +195,147 @@
 }
 
 var (
-	// platformIdempotency are those of the platform's JSON for ours.
+	// platformIdempotency and platformGroup map the values of "repeat" and "reach" to those in the platform's JSON.
 	platformIdempotency = map[string]string{"harmless": "repeatable", "stamped": "by_key", "one-shot": "once"}
 	platformGroup       = map[string]string{"": "all", "all": "all", "zone": "zone", "group": "cell"}
-	weightKinds         = []string{"none", "nominal", "rough", "live"}
-	productNamePattern  = regexp.MustCompile(`^[^\s,=]{1,100}$`)
+	// weightKinds are the values of "weights".
+	weightKinds = []string{"none", "nominal", "rough", "live"}
+	// productNamePattern excludes spaces, commas and equals signs, which separate the fields of a client's request.
+	productNamePattern = regexp.MustCompile(`^[^\s,=]{1,100}$`)
 )
 
+// validate returns all faults of the file, sorted.
 func (f *File) validate() (faults []error) {
-	wrong := func(key, format string, a ...any) {
-		faults = append(faults, fmt.Errorf("%s: %s: %s", f.positions.At(key), key, fmt.Sprintf(format, a...)))
+	report := func(key, format string, args ...any) {
+		faults = append(faults, fmt.Errorf("%s: %s: %s", f.positions.At(key), key, fmt.Sprintf(format, args...)))
 	}
-	between := func(key string, x, least, most float64) {
-		if !(x >= least && x <= most) {
-			wrong(key, "%g is not between %g and %g", x, least, most)
+	checkRange := func(key string, value, minimum, maximum float64) {
+		if !(value >= minimum && value <= maximum) {
+			report(key, "%g is not between %g and %g", value, minimum, maximum)
 		}
 	}
 	if f.Name == "" {
-		wrong("name", "is missing")
+		report("name", "is missing")
 	}
-	for key, at := range map[string]string{"listen": f.Listen, "pool.list": f.Pool.List} {
-		if _, err := netip.ParseAddrPort(at); err != nil {
-			wrong(key, "%q is no address with a port", at)
+	for key, address := range map[string]string{"listen": f.Listen, "pool.list": f.Pool.List} {
+		if _, err := netip.ParseAddrPort(address); err != nil {
+			report(key, "%q is no address with a port", address)
 		}
 	}
 	if f.Seed != "" {
 		if _, err := strconv.ParseUint(f.Seed, 16, 64); err != nil {
-			wrong("seed", "%q is no hexadecimal number", f.Seed)
+			report("seed", "%q is no hexadecimal number", f.Seed)
 		}
 	}
 	if err := new(slog.LevelVar).UnmarshalText([]byte(f.Log.Level)); err != nil {
-		wrong("log.level", "%q is none of debug, info, warn, error", f.Log.Level)
+		report("log.level", "%q is none of debug, info, warn, error", f.Log.Level)
 	}
-	between("resources.cores", f.Resources.Cores, 0.01, 1024)
-	between("resources.sockets", float64(f.Resources.Sockets), 64, 1<<24)
-	p := f.Pool
-	between("pool.of", float64(p.Of), 1, 100_000)
-	between("pool.number", float64(p.Number), 0, float64(p.Of-1))
-	between("pool.dispatches", float64(p.Dispatches), 1, 100)
-	if len(p.Zones) == 0 {
-		wrong("pool.zones", "are missing")
-	} else if !slices.Contains(p.Zones, p.Zone) {
-		wrong("pool.zone", "%q is none of %v", p.Zone, p.Zones)
+	checkRange("resources.cores", f.Resources.Cores, 0.01, 1024)
+	checkRange("resources.sockets", float64(f.Resources.Sockets), 64, 1<<24)
+	pool := f.Pool
+	checkRange("pool.of", float64(pool.Of), 1, 100_000)
+	checkRange("pool.number", float64(pool.Number), 0, float64(pool.Of-1))
+	checkRange("pool.dispatches", float64(pool.Dispatches), 1, 100)
+	if len(pool.Zones) == 0 {
+		report("pool.zones", "are missing")
+	} else if !slices.Contains(pool.Zones, pool.Zone) {
+		report("pool.zone", "%q is none of %v", pool.Zone, pool.Zones)
 	}
-	if !slices.Contains(weightKinds, p.Weights) {
-		wrong("pool.weights", "%q is none of %v", p.Weights, weightKinds)
+	if !slices.Contains(weightKinds, pool.Weights) {
+		report("pool.weights", "%q is none of %v", pool.Weights, weightKinds)
 	}
-	between("pool.rules.start", p.Rules.Start, 0, 1)
-	if len(p.Product) == 0 {
-		wrong("pool.product", "is missing: [[pool.product]] names one")
+	checkRange("pool.rules.start", pool.Rules.Start, 0, 1)
+	if len(pool.Product) == 0 {
+		report("pool.product", "is missing: [[pool.product]] names one")
 	}
 	named := map[string]bool{}
-	for i, x := range p.Product {
-		at := fmt.Sprintf("pool.product[%d]", i)
-		if !productNamePattern.MatchString(x.Name) {
-			wrong(at+".name", "%q is no name", x.Name)
-		} else if named[x.Name] {
-			wrong(at+".name", "%q is named twice", x.Name)
+	for i, product := range pool.Product {
+		prefix := fmt.Sprintf("pool.product[%d]", i)
+		if !productNamePattern.MatchString(product.Name) {
+			report(prefix+".name", "%q is no name", product.Name)
+		} else if named[product.Name] {
+			report(prefix+".name", "%q is named twice", product.Name)
 		}
-		named[x.Name] = true
-		if platformIdempotency[x.Repeat] == "" {
-			wrong(at+".repeat", "%q is none of harmless, stamped, one-shot", x.Repeat)
+		named[product.Name] = true
+		if platformIdempotency[product.Repeat] == "" {
+			report(prefix+".repeat", "%q is none of harmless, stamped, one-shot", product.Repeat)
 		}
-		if platformGroup[x.Reach] == "" {
-			wrong(at+".reach", "%q is none of all, zone, group", x.Reach)
+		if platformGroup[product.Reach] == "" {
+			report(prefix+".reach", "%q is none of all, zone, group", product.Reach)
 		}
-		if x.Quoted.Duration <= 0 || x.Quoted.Duration > x.Limit.Duration {
-			wrong(at+".quoted", "is not between 0 and the limit")
+		if product.Quoted.Duration <= 0 || product.Quoted.Duration > product.Limit.Duration {
+			report(prefix+".quoted", "is not between 0 and the limit")
 		}
-		if x.Repeat == "stamped" && x.Window.Duration <= 0 {
-			wrong(at+".window", "is missing: how long a stamp is remembered")
+		if product.Repeat == "stamped" && product.Window.Duration <= 0 {
+			report(prefix+".window", "is missing: how long a stamp is remembered")
 		}
 	}
-	f.validateLimits(wrong, between)
-	// A map's order is none: the same file is to be told the same way each time.
+	f.validateLimits(report, checkRange)
+	// Maps are iterated in random order; sorting makes the errors of a file the same each time.
 	slices.SortStableFunc(faults, func(a, b error) int { return cmp.Compare(a.Error(), b.Error()) })
 	return faults
 }
 
-// validateLimits finds limits that make no sense, alone or together.
-func (f *File) validateLimits(wrong func(string, string, ...any), between func(string, float64, float64, float64)) {
+// validateLimits reports limits that make no sense, alone or together.
+func (f *File) validateLimits(report func(string, string, ...any), checkRange func(string, float64, float64, float64)) {
 	l := f.Limits
-	const most = 1e9
-	between("limits.set-ups", l.SetUps, 0, most)
-	between("limits.burst", l.Burst, 0, most)
-	between("limits.standing", float64(l.Standing), 0, most)
-	between("limits.address-set-ups", l.AddressSetUps, 0, most)
-	between("limits.address-burst", l.AddressBurst, 0, most)
-	between("limits.retry-share", l.RetryShare, 0, 100)
+	const maximum = 1e9
+	checkRange("limits.set-ups", l.SetUps, 0, maximum)
+	checkRange("limits.burst", l.Burst, 0, maximum)
+	checkRange("limits.standing", float64(l.Standing), 0, maximum)
+	checkRange("limits.address-set-ups", l.AddressSetUps, 0, maximum)
+	checkRange("limits.address-burst", l.AddressBurst, 0, maximum)
+	checkRange("limits.retry-share", l.RetryShare, 0, 100)
 	if l.Burst > 0 && l.SetUps == 0 {
-		wrong("limits.burst", "says nothing without set-ups")
+		report("limits.burst", "says nothing without set-ups")
 	}
 	if l.AddressBurst > 0 && l.AddressSetUps == 0 {
-		wrong("limits.address-burst", "says nothing without address-set-ups")
+		report("limits.address-burst", "says nothing without address-set-ups")
 	}
 	if l.SetUps > 0 && l.AddressSetUps > l.SetUps {
-		wrong("limits.address-set-ups", "one address may have %g a second, and all together %g", l.AddressSetUps, l.SetUps)
+		report("limits.address-set-ups", "one address may have %g a second, and all together %g", l.AddressSetUps, l.SetUps)
 	}
 	if 2*int64(l.Standing) > f.Resources.Sockets {
-		wrong("limits.standing", "%d connections need %d sockets, and resources.sockets has %d", l.Standing, 2*l.Standing, f.Resources.Sockets)
+		report("limits.standing", "%d connections need %d sockets, and resources.sockets has %d", l.Standing, 2*l.Standing, f.Resources.Sockets)
 	}
 	if l.HasAny() && l.LongestWait.Duration <= 0 {
-		wrong("limits.longest-wait", "is not above 0")
+		report("limits.longest-wait", "is not above 0")
 	}
 }
 
-// PlatformConfig translates the file into what the platform's JSON says, and so into the inner form.
+// PlatformConfig converts the file into the platform's configuration. It uses seed unless the file has one.
 func (f *File) PlatformConfig(seed uint64) (*platformconfig.Config, error) {
 	type table = map[string]any
-	var rows []table
-	var messages []float64
-	for _, p := range f.Pool.Product {
-		gain := p.Gain
+	var products []table
+	var messageTimes []float64
+	for _, product := range f.Pool.Product {
+		gain := product.Gain
 		if gain == 0 {
 			gain = 1
 		}
-		rows = append(rows, table{"name": p.Name, "idempotency": platformIdempotency[p.Repeat], "group": platformGroup[p.Reach], "window-ms": p.Window.millis(),
-			"quoted-time-ms": p.Quoted.millis(), "hard-limit-ms": p.Limit.millis(), "gain": gain})
-		messages = append(messages, p.Message.millis())
+		products = append(products, table{"name": product.Name, "idempotency": platformIdempotency[product.Repeat], "group": platformGroup[product.Reach], "window-ms": product.Window.millis(),
+			"quoted-time-ms": product.Quoted.millis(), "hard-limit-ms": product.Limit.millis(), "gain": gain})
+		messageTimes = append(messageTimes, product.Message.millis())
 	}
 	models := f.Pool.Models
 	if models == nil {
 		models = []string{}
 	}
-	p, r := f.Pool, f.Pool.Rules
+	pool, rules := f.Pool, f.Pool.Rules
 	if f.Seed != "" {
-		seed, _ = strconv.ParseUint(f.Seed, 16, 64) // it was checked
+		seed, _ = strconv.ParseUint(f.Seed, 16, 64) // validated by Parse
 	}
 	text, err := json.Marshal(table{
-		"name": f.Name, "listen": f.Listen, "discovery": p.List, "seed": strconv.FormatUint(seed, 16),
+		"name": f.Name, "listen": f.Listen, "discovery": pool.List, "seed": strconv.FormatUint(seed, 16),
 		"limits": table{"cores": f.Resources.Cores, "memory_mb": f.Resources.Memory.Bytes >> 20, "sockets": f.Resources.Sockets},
 		"settings": table{
-			"my-number": p.Number, "group-size": p.Of, "zone": slices.Index(p.Zones, p.Zone), "localities": p.Zones, "models": models,
-			"weight-kind": p.Weights, "membership-mode": "subscribe", "products": rows,
-			"family-info": table{"mode": "proxy", "message-aim-ms": messages},
-			"limits":      table{"max-dispatches": p.Dispatches, "dial-timeout-ms": p.Connect.millis(), "probes": p.Probes},
-			"invariants": table{"ask-within-ms": r.AskWithin.millis(), "start-capacity": r.Start, "cold-ms": r.Warm.millis(), "fall-multiple": r.Multiple,
-				"fall-ms": r.Window.millis(), "stop-sending-within-ms": r.Grace.millis()},
-			"prices": table{"cross-zone": p.Prices.CrossZone, "moves": p.Prices.Moves},
+			"my-number": pool.Number, "group-size": pool.Of, "zone": slices.Index(pool.Zones, pool.Zone), "localities": pool.Zones, "models": models,
+			"weight-kind": pool.Weights, "membership-mode": "subscribe", "products": products,
+			"family-info": table{"mode": "proxy", "message-aim-ms": messageTimes},
+			"limits":      table{"max-dispatches": pool.Dispatches, "dial-timeout-ms": pool.Connect.millis(), "probes": pool.Probes},
+			"invariants": table{"ask-within-ms": rules.AskWithin.millis(), "start-capacity": rules.Start, "cold-ms": rules.Warm.millis(), "fall-multiple": rules.Multiple,
+				"fall-ms": rules.Window.millis(), "stop-sending-within-ms": rules.Grace.millis()},
+			"prices": table{"cross-zone": pool.Prices.CrossZone, "moves": pool.Prices.Moves},
 		},
 	})
 	if err != nil {
--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -26,26 +26,26 @@
 message = "150ms"
 `
 
-func TestAFileIsTranslatedIntoTheInnerFormWithWhatItLeavesOut(t *testing.T) {
-	f, err := conf.Parse("x", []byte(validConfig))
+func TestPlatformConfigWithDefaults(t *testing.T) {
+	file, err := conf.Parse("x", []byte(validConfig))
 	require.NoError(t, err)
-	p, err := f.PlatformConfig(7)
+	config, err := file.PlatformConfig(7)
 	require.NoError(t, err)
-	names, limits := p.Products()
+	names, limits := config.Products()
 	require.Equal(t, []string{"chat"}, names)
 	require.Equal(t, []logic.Micros{1500 * logic.Millisecond}, limits)
-	require.Equal(t, 250*logic.Millisecond, p.DialTimeout())
-	require.Equal(t, 10*logic.Second, p.ListPollInterval())
-	require.Equal(t, 50*logic.Millisecond, p.LateMessageDelay())
-	zones, _ := p.ZonesAndModels()
+	require.Equal(t, 250*logic.Millisecond, config.DialTimeout())
+	require.Equal(t, 10*logic.Second, config.ListPollInterval())
+	require.Equal(t, 50*logic.Millisecond, config.LateMessageDelay())
+	zones, _ := config.ZonesAndModels()
 	require.Equal(t, []string{"a", "b"}, zones)
-	_, memory, sockets := p.Resources()
+	_, memory, sockets := config.Resources()
 	require.EqualValues(t, 192<<20, memory)
 	require.EqualValues(t, 1024, sockets)
-	require.Nil(t, f.Limits.NewLimiter(1), "no limits, no gate")
+	require.Nil(t, file.Limits.NewLimiter(1), "there is no limiter without limits")
 }
 
-func TestAllFaultsAreToldAtOnceWithTheirPlace(t *testing.T) {
+func TestAllFaultsAreReportedWithTheirPosition(t *testing.T) {
 	for text, want := range map[string][]string{
 		validConfig + "[limit]\nset-ups = 5\n":                                               {`x:15: limit is unknown; is "limits" meant?`},
 		validConfig + "[limits]\nset-up = 5\n":                                               {`x:16: limits.set-up is unknown; is "set-ups" meant?`},
@@ -67,28 +67,28 @@
 	}
 }
 
-func TestTheExampleIsGood(t *testing.T) {
-	f, err := conf.Read("../examples/hatchproxy.toml")
+func TestTheExampleIsValid(t *testing.T) {
+	file, err := conf.Read("../examples/hatchproxy.toml")
 	require.NoError(t, err)
-	require.NotNil(t, f.Limits.NewLimiter(1))
-	_, err = f.PlatformConfig(1)
+	require.NotNil(t, file.Limits.NewLimiter(1))
+	_, err = file.PlatformConfig(1)
 	require.NoError(t, err)
 	_, err = conf.Read("nowhere.toml")
 	require.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// Nothing that stands in a file may panic, and what is taken can be translated.
+// No file may cause a panic, and every valid file can be converted.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validConfig))
 	f.Add([]byte(validConfig + "[limits]\nset-ups = nan\nstanding = -9223372036854775808\n"))
 	f.Add([]byte("[[pool.product]]\n[[pool.product]]\nname=\"\"\n[pool.rules]\nstart=inf\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		found, err := conf.Parse("x", text)
+		file, err := conf.Parse("x", text)
 		if err != nil {
 			return
 		}
-		_, err = found.PlatformConfig(1)
+		_, err = file.PlatformConfig(1)
 		require.NoError(t, err)
-		found.Limits.NewLimiter(1)
+		file.Limits.NewLimiter(1)
 	})
 }
