--- a/cmd/hatchproxy/main.go
+++ b/cmd/hatchproxy/main.go
@@ -1,4 +1,4 @@
-// Command hatchproxy is the balancer on real sockets.
+// Command hatchproxy runs the load balancer as a proxy on real sockets.
 package main
 
 import (
@@ -34,25 +34,27 @@
 	"hatchproxy/orders"
 )
 
+// usage is printed for --help and after an unknown command.
 const usage = `hatchproxy places long-lived connections on servers.
 
   hatchproxy serve [--config FILE] [--log-level LEVEL] [--control ADDRESS] [--orders FILE]
-                                                          run one proxy, until SIGTERM
-  hatchproxy serve --conf FILE ...                        the same, with the product's own configuration (TOML)
-  hatchproxy config check [--config FILE | --conf FILE]   read the configuration and say what is wrong with it
-  hatchproxy config show --conf FILE                      what holds in the end, with what the file leaves out
+                                                          run a proxy until SIGTERM
+  hatchproxy serve --conf FILE ...                        the same, with hatchproxy's own configuration file (TOML)
+  hatchproxy config check [--config FILE | --conf FILE]   validate the configuration
+  hatchproxy config show --conf FILE                      print the configuration with all defaults
   hatchproxy version
 
-The configuration is the file that $ROUTER_CONFIG names; $ROUTER_NAME and $ROUTER_LISTEN go before what stands in
-it, $ROUTER_DISCOVERY counts where it names none. On SIGHUP the file is read again and counts whole or not at all:
-discovery's address and the settings hold for what comes from then on, the addresses and limits from the next start on.
+The configuration is the file that $ROUTER_CONFIG names. $ROUTER_NAME and $ROUTER_LISTEN override the values in it;
+$ROUTER_DISCOVERY is used if the file has no discovery address. On SIGHUP the file is read again; an invalid file is
+rejected as a whole. The discovery address and the settings take effect at once for new requests, the listen and admin
+addresses and the limits at the next start.
 
---control unix:PATH, or a loopback address with a port, lets operators ask what the proxy sees and give it orders; it
-is off by default. --orders names a file of orders, a JSON list, that the proxy obeys before it takes any work.
+--control unix:PATH, or a loopback address with a port, lets operators query the proxy's status and give it orders; it
+is off by default. --orders names a file with a JSON list of orders that apply before the proxy accepts any clients.
 `
 
 func main() {
-	// A write to a log that nobody reads any more fails, and does not end the process.
+	// Writing to a log whose reader is gone must fail instead of ending the process.
 	signal.Ignore(syscall.SIGPIPE)
 	err := run(os.Args[1:], os.Stdout)
 	if errors.Is(err, pflag.ErrHelp) {
@@ -66,69 +68,72 @@
 	}
 }
 
-// logFlushTimeout is how long the end waits for the log to be written: a log that nobody reads must not keep the process.
+// logFlushTimeout limits how long the process waits at its end for the log to be written, as the log's reader may be stuck.
 const logFlushTimeout = 200 * time.Millisecond
 
+// run executes a command line.
 func run(args []string, out io.Writer) error {
 	flags := pflag.NewFlagSet("hatchproxy", pflag.ContinueOnError)
 	flags.Usage = func() { fmt.Fprint(out, usage) }
-	file := flags.String("config", "", "the configuration, instead of the one that $ROUTER_CONFIG names")
-	own := flags.String("conf", "", "the product's own configuration, instead of the platform's")
-	level := flags.String("log-level", "", "debug, info, warn or error; info if neither this nor the configuration says")
-	surface := flags.String("control", "", "where operators reach this proxy: unix:PATH or a loopback address; off if empty")
-	held := flags.String("orders", "", "a file of orders that are obeyed from the start")
+	platformPath := flags.String("config", "", "configuration file, instead of the one that $ROUTER_CONFIG names")
+	ownPath := flags.String("conf", "", "hatchproxy's own configuration file (TOML), instead of the platform's")
+	level := flags.String("log-level", "", "debug, info, warn or error; if empty, the configuration's level, or info")
+	controlAddress := flags.String("control", "", "address of the control API: unix:PATH or a loopback address with a port; off if empty")
+	ordersPath := flags.String("orders", "", "file with orders that apply from the start")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
-	words := flags.Args()
+	command := flags.Args()
 	switch {
-	case len(words) == 1 && words[0] == "serve":
-		return serve(configSource{*file, *own}, *level, *surface, *held)
-	case len(words) == 2 && words[0] == "config" && words[1] == "check":
-		paper, _, err := configSource{*file, *own}.load()
+	case len(command) == 1 && command[0] == "serve":
+		return serve(configSource{*platformPath, *ownPath}, *level, *controlAddress, *ordersPath)
+	case len(command) == 2 && command[0] == "config" && command[1] == "check":
+		config, _, err := configSource{*platformPath, *ownPath}.load()
 		if err != nil {
 			return err
 		}
-		listen, list := paper.Addresses()
-		fmt.Fprintf(out, "%s: good; it would listen on %s and ask %s\n", paper.Name(), listen, list)
+		listenAddress, discoveryAddress := config.Addresses()
+		fmt.Fprintf(out, "%s: good; it would listen on %s and ask %s\n", config.Name(), listenAddress, discoveryAddress)
 		return nil
-	case len(words) == 2 && words[0] == "config" && words[1] == "show":
-		f, err := conf.Read(*own)
+	case len(command) == 2 && command[0] == "config" && command[1] == "show":
+		ownConfig, err := conf.Read(*ownPath)
 		if err != nil {
 			return err
 		}
-		return toml.NewEncoder(out).Encode(f)
-	case len(words) == 1 && words[0] == "version":
+		return toml.NewEncoder(out).Encode(ownConfig)
+	case len(command) == 1 && command[0] == "version":
 		fmt.Fprintln(out, version())
 		return nil
 	}
 	fmt.Fprint(out, usage)
-	return fmt.Errorf("there is no such command: %q", words)
+	return fmt.Errorf("there is no such command: %q", command)
 }
 
-// configSource is where the configuration is had: the platform's file, or the product's own.
+// configSource says which file has the configuration: the platform's or hatchproxy's own. If both paths are empty, it is the
+// file that the environment names.
 type configSource struct{ platformPath, ownPath string }
 
-// load reads it; the second is nil for the platform's.
+// load reads and validates the configuration. The file is nil unless it is hatchproxy's own.
 func (s configSource) load() (*platformconfig.Config, *conf.File, error) {
 	switch {
 	case s.ownPath != "" && s.platformPath != "":
-		return nil, nil, errors.New("--config and --conf: one of them")
+		return nil, nil, errors.New("--config and --conf exclude each other")
 	case s.ownPath != "":
-		f, err := conf.Read(s.ownPath)
+		file, err := conf.Read(s.ownPath)
 		if err != nil {
 			return nil, nil, err
 		}
-		paper, err := f.PlatformConfig(rand.Uint64())
-		return paper, f, err
+		config, err := file.PlatformConfig(rand.Uint64())
+		return config, file, err
 	case s.platformPath != "":
-		paper, err := platformconfig.FromFile(s.platformPath, os.Getenv)
-		return paper, nil, err
+		config, err := platformconfig.FromFile(s.platformPath, os.Getenv)
+		return config, nil, err
 	}
-	paper, err := platformconfig.FromEnvironment(os.Getenv)
-	return paper, nil, err
+	config, err := platformconfig.FromEnvironment(os.Getenv)
+	return config, nil, err
 }
 
+// version returns the program's version, the Go version and the commit, as far as the build knows them.
 func version() string {
 	info, known := debug.ReadBuildInfo()
 	if !known {
@@ -143,113 +148,115 @@
 	return text
 }
 
-func serve(from configSource, level, surface, held string) error {
-	// Before all else: a signal that is not caught yet ends the program, and SIGHUP must never.
-	leave, again := make(chan os.Signal, 1), make(chan os.Signal, 1)
+// serve runs a proxy until it is told to leave. level, controlAddress and ordersPath are the flags' values; the first two
+// override the configuration unless they are empty.
+func serve(source configSource, level, controlAddress, ordersPath string) error {
+	// This comes first because a signal that is not caught ends the process, which SIGHUP must never do.
+	leave, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(leave, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(again, syscall.SIGHUP)
+	signal.Notify(reload, syscall.SIGHUP)
 
-	paper, own, err := from.load()
+	config, ownFile, err := source.load()
 	if err != nil {
 		return err
 	}
-	if own != nil {
-		level, surface = cmp.Or(level, own.Log.Level), cmp.Or(surface, own.Control.Listen)
+	if ownFile != nil {
+		level, controlAddress = cmp.Or(level, ownFile.Log.Level), cmp.Or(controlAddress, ownFile.Control.Listen)
 	}
-	var lowest slog.LevelVar
-	if err := lowest.UnmarshalText([]byte(cmp.Or(level, "info"))); err != nil {
+	var logLevel slog.LevelVar
+	if err := logLevel.UnmarshalText([]byte(cmp.Or(level, "info"))); err != nil {
 		return fmt.Errorf("--log-level: %w", err)
 	}
-	written := logging.NewWriter(os.Stderr)
-	defer written.Close(logFlushTimeout)
-	log := slog.New(slog.NewTextHandler(written, &slog.HandlerOptions{Level: &lowest}))
-	b, err := paper.NewBalancer()
+	logWriter := logging.NewWriter(os.Stderr)
+	defer logWriter.Close(logFlushTimeout)
+	log := slog.New(slog.NewTextHandler(logWriter, &slog.HandlerOptions{Level: &logLevel}))
+	balancer, err := config.NewBalancer()
 	if err != nil {
 		return err
 	}
-	cores, memory, _ := paper.Resources()
-	var open syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &open); err != nil {
-		return fmt.Errorf("how many descriptors may be open: %w", err)
+	cores, memory, _ := config.Resources()
+	var openFiles syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &openFiles); err != nil {
+		return fmt.Errorf("reading the limit on open descriptors: %w", err)
 	}
-	sockets, err := paper.SocketLimit(open.Cur)
+	sockets, err := config.SocketLimit(openFiles.Cur)
 	if err != nil {
 		return err
 	}
 	if memory > 0 && os.Getenv("GOMEMLIMIT") == "" {
-		// The rest is for what the collector does not see: stacks of threads, the kernel's buffers, the binary.
+		// The rest is for memory that the garbage collector does not manage: thread stacks, kernel buffers, the binary.
 		debug.SetMemoryLimit(memory / 10 * 8)
 	}
-	// One for the loop, which holds it while it waits for sockets, and one for dials, timers and the list:
-	// with a single one these would wait until the runtime notices that the loop sleeps.
+	// The event loop occupies one while it waits for sockets. With a single one, dials, timers and the server list would wait
+	// until the runtime notices that the loop is blocked.
 	runtime.GOMAXPROCS(max(2, int(math.Ceil(cores))))
 
-	listen, _ := paper.Addresses()
-	products, limits := paper.Products()
-	zones, models := paper.ZonesAndModels()
-	reread := func() (proxy.ReloadedConfig, error) {
-		fresh, _, err := from.load()
+	listenAddress, _ := config.Addresses()
+	products, hardLimits := config.Products()
+	zones, models := config.ZonesAndModels()
+	reloadConfig := func() (proxy.ReloadedConfig, error) {
+		fresh, _, err := source.load()
 		if err != nil {
 			return proxy.ReloadedConfig{}, err
 		}
-		if err := fresh.CheckReplaces(paper); err != nil {
+		if err := fresh.CheckReplaces(config); err != nil {
 			return proxy.ReloadedConfig{}, err
 		}
-		rules, err := fresh.NewBalancer()
+		balancer, err := fresh.NewBalancer()
 		if err != nil {
 			return proxy.ReloadedConfig{}, err
 		}
-		paper = fresh
-		products, limits := fresh.Products()
-		return proxy.ReloadedConfig{Discovery: newDiscoveryClient(fresh), Balancer: rules, Classes: products, HardLimits: limits,
-			DialTimeout: fresh.DialTimeout(), LateThreshold: fresh.LateMessageDelay(), DelaysReported: fresh.ServersReportDelay(),
-			DrainGrace: fresh.DrainGrace(), MaxPollInterval: fresh.ListPollInterval(), PushedByAgent: fresh.ListPushed()}, nil
+		config = fresh
+		products, hardLimits := fresh.Products()
+		return proxy.ReloadedConfig{Discovery: newDiscoveryClient(fresh), Balancer: balancer, Classes: products, HardLimits: hardLimits,
+			DialTimeout: fresh.DialTimeout(), LateThreshold: fresh.LateThreshold(), DelaysReported: fresh.ServersReportDelay(),
+			DrainGrace: fresh.DrainGrace(), MaxPollInterval: fresh.MaxPollInterval(), PushedByAgent: fresh.PushedByAgent()}, nil
 	}
-	log = log.With("proxy", paper.Name())
-	p := proxy.New(proxy.Options{Log: log, Balancer: b, Listen: listen, Discovery: newDiscoveryClient(paper), CachedList: paper.KnownServers(),
-		Classes: products, HardLimits: limits, Zones: zones, Models: models, DialTimeout: paper.DialTimeout(), LateThreshold: paper.LateMessageDelay(),
+	log = log.With("proxy", config.Name())
+	instance := proxy.New(proxy.Options{Log: log, Balancer: balancer, Listen: listenAddress, Discovery: newDiscoveryClient(config), CachedList: config.KnownServers(),
+		Classes: products, HardLimits: hardLimits, Zones: zones, Models: models, DialTimeout: config.DialTimeout(), LateThreshold: config.LateThreshold(),
 		MaxDescriptors: sockets})
-	p.SetListLimits(paper.DrainGrace(), paper.ListPollInterval(), paper.ListPushed())
-	first, err := readOrders(held)
+	instance.SetListLimits(config.DrainGrace(), config.MaxPollInterval(), config.PushedByAgent())
+	initialOrders, err := readOrders(ordersPath)
 	if err != nil {
 		return err
 	}
-	p.Initialize(proxy.Info{Name: paper.Name(), Version: version(), ConfigChecksum: paper.Hash(), LogLevel: &lowest}, first)
-	if paper.ServersReportDelay() {
-		p.ExpectDelays()
+	instance.Initialize(proxy.Info{Name: config.Name(), Version: version(), ConfigChecksum: config.Hash(), LogLevel: &logLevel}, initialOrders)
+	if config.ServersReportDelay() {
+		instance.ExpectDelays()
 	}
-	if own != nil {
-		p.SetLimiter(own.Limits.NewLimiter(rand.Int64()))
+	if ownFile != nil {
+		instance.SetLimiter(ownFile.Limits.NewLimiter(rand.Int64()))
 	}
-	if surface != "" {
-		c, err := control.Start(surface, p, log)
+	if controlAddress != "" {
+		controlServer, err := control.Start(controlAddress, instance, log)
 		if err != nil {
 			return err
 		}
-		defer c.Close()
+		defer controlServer.Close()
 	}
 	if fd := os.Getenv("ROUTER_SOCKET_FD"); fd != "" {
-		n, err := strconv.Atoi(fd)
-		if err != nil || n < 3 {
+		descriptor, err := strconv.Atoi(fd)
+		if err != nil || descriptor < 3 {
 			return fmt.Errorf("ROUTER_SOCKET_FD: %.40q is no descriptor", fd)
 		}
-		if err := p.InheritListener(n, os.Getenv("TMPDIR")); err != nil {
+		if err := instance.InheritListener(descriptor, os.Getenv("TMPDIR")); err != nil {
 			return fmt.Errorf("ROUTER_SOCKET_FD: %w", err)
 		}
 	}
-	if at := paper.AdminAddress(); at != "" {
-		p.EnableMetrics()
-		a, err := admin.Start(at, p, log)
+	if address := config.AdminAddress(); address != "" {
+		instance.EnableMetrics()
+		adminServer, err := admin.Start(address, instance, log)
 		if err != nil {
 			return err
 		}
-		defer a.Close()
+		defer adminServer.Close()
 	}
-	return p.Run(leave, again, reread)
+	return instance.Run(leave, reload, reloadConfig)
 }
 
-// readOrders reads the orders with which a proxy starts. A file that is wrong anywhere is refused whole: a drain that is
-// not heard is worse than a start that fails.
+// readOrders reads the orders with which a proxy starts. If any part of the file is invalid, it returns an error: ignoring an
+// order to drain would be worse than a failed start.
 func readOrders(path string) ([]orders.Order, error) {
 	if path == "" {
 		return nil, nil
@@ -258,23 +265,23 @@
 	if err != nil {
 		return nil, fmt.Errorf("--orders: %w", err)
 	}
-	var found []orders.Order
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&found); err != nil {
+	var list []orders.Order
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&list); err != nil {
 		return nil, fmt.Errorf("--orders: %s: %w", path, err)
 	}
-	return found, nil
+	return list, nil
 }
 
-// newDiscoveryClient is where a configuration says that the list of servers is had.
-func newDiscoveryClient(paper *platformconfig.Config) *discovery.Client {
-	_, list := paper.Addresses()
-	return discovery.NewClient(list, watchHold(paper.ListPollInterval()))
+// newDiscoveryClient returns a client of the discovery service that the configuration names.
+func newDiscoveryClient(config *platformconfig.Config) *discovery.Client {
+	_, address := config.Addresses()
+	return discovery.NewClient(address, watchHold(config.MaxPollInterval()))
 }
 
-// watchHold is how long a watch may wait: the span within which the list must be asked for, so that a service that
-// has fallen silent is noticed soon after.
-func watchHold(within logic.Micros) time.Duration {
-	return min(time.Duration(within)*time.Microsecond, time.Minute)
+// watchHold returns the longest hold time of a watch, at most a minute. It is the interval within which the list must be asked
+// for, so that a service that has stalled is noticed soon after.
+func watchHold(pollInterval logic.Micros) time.Duration {
+	return min(time.Duration(pollInterval)*time.Microsecond, time.Minute)
 }
--- a/internal/platformconfig/config.go
+++ b/internal/platformconfig/config.go
@@ -29,8 +29,8 @@
 	knownServers json.RawMessage
 	hash         string
 
-	listPushed bool              // agents receive each list change at once, without asking
-	kindByKey  map[string]string // the kind of value under each key, as recordKinds notes it
+	pushedByAgent bool              // list changes are pushed to an agent
+	kindByKey     map[string]string // the kind of value under each key, as recordKinds notes it
 }
 
 // FromEnvironment reads the file that ROUTER_CONFIG names. ROUTER_NAME, ROUTER_LISTEN and ROUTER_ADMIN_ADDR, where set,
@@ -111,8 +111,8 @@
 		settings: settings, seed: seed, name: file.Name, listenAddress: file.Listen, discoveryAddress: file.Discovery,
 		adminAddress: file.Admin,
 		cores:        file.Limits.Cores, memoryMB: file.Limits.MemoryMB, sockets: file.Limits.Sockets,
-		listPushed:   settings["membership-mode"] == "automatic",
-		knownServers: file.Known, kindByKey: kinds, hash: fmt.Sprintf("%x", sha256.Sum256(text))[:16],
+		pushedByAgent: settings["membership-mode"] == "automatic",
+		knownServers:  file.Known, kindByKey: kinds, hash: fmt.Sprintf("%x", sha256.Sum256(text))[:16],
 	}, nil
 }
 
@@ -310,8 +310,8 @@
 // DialTimeout returns how long connecting to a server may take.
 func (c *Config) DialTimeout() logic.Micros { return c.durationOr("limits.dial-timeout-ms", 250) }
 
-// ListPollInterval returns the interval within which the server list must be asked for.
-func (c *Config) ListPollInterval() logic.Micros {
+// MaxPollInterval returns the interval within which the server list must be asked for.
+func (c *Config) MaxPollInterval() logic.Micros {
 	return c.durationOr("invariants.ask-within-ms", 10_000)
 }
 
@@ -320,12 +320,13 @@
 	return c.durationOr("invariants.stop-sending-within-ms", 0)
 }
 
-// ListPushed reports whether agents receive each change of the list at once, without asking for it.
-func (c *Config) ListPushed() bool { return c.listPushed }
+// PushedByAgent reports whether changes of the server list are pushed to an agent. Then each change counts as announced at
+// once, whether or not the proxy asks for it.
+func (c *Config) PushedByAgent() bool { return c.pushedByAgent }
 
-// LateMessageDelay returns the delay that is assumed for messages of a server that is reported late: a third of the
-// shortest quoted message time.
-func (c *Config) LateMessageDelay() logic.Micros {
+// LateThreshold returns the delay from which on a server's messages count as late: a third of the shortest quoted message
+// time. It is the largest Micros if no product has such a time.
+func (c *Config) LateThreshold() logic.Micros {
 	products, _ := c.settings.products() // validated when the configuration was read
 	shortest := logic.Micros(math.MaxInt64)
 	for _, product := range products {
