--- a/cmd/hatchproxy/build_test.go
+++ b/cmd/hatchproxy/build_test.go
@@ -12,21 +12,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a program that takes no library at its start: the days at size cannot be played with one.
+// Guards against a statically linked program: it does not load the library that the tests at full size need.
 func TestTheDeployedBuildIsLinkedDynamically(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	require.NoError(t, err)
 	var deploy struct{ Build, Run string }
 	require.NoError(t, toml.Unmarshal(text, &deploy))
-	require.True(t, strings.HasPrefix(deploy.Run, "exec "), "it ends in one process")
-	folder := t.TempDir()
-	line := strings.NewReplacer("-o bin/", "-o "+folder+"/", "./cmd/...", "./cmd/hatchproxy").Replace(deploy.Build)
-	require.Contains(t, line, folder)
-	build := exec.Command("/bin/sh", "-c", line)
+	require.True(t, strings.HasPrefix(deploy.Run, "exec "), "the shell is replaced by the program")
+	dir := t.TempDir()
+	command := strings.NewReplacer("-o bin/", "-o "+dir+"/", "./cmd/...", "./cmd/hatchproxy").Replace(deploy.Build)
+	require.Contains(t, command, dir)
+	build := exec.Command("/bin/sh", "-c", command)
 	build.Dir = "../.."
 	out, err := build.CombinedOutput()
 	require.NoError(t, err, string(out))
-	program, err := elf.Open(filepath.Join(folder, "hatchproxy"))
+	program, err := elf.Open(filepath.Join(dir, "hatchproxy"))
 	require.NoError(t, err)
 	defer program.Close()
 	libraries, err := program.ImportedLibraries()
--- a/cmd/hatchproxy/descriptors_test.go
+++ b/cmd/hatchproxy/descriptors_test.go
@@ -17,11 +17,11 @@
 	"hatchproxy/lab/fleet"
 )
 
-// The list's service was down, the process might open fewer descriptors than its configuration says, and idle clients took
-// them all: the loop ended with the first connection that found none.
-func TestIdleClientsLeaveDescriptorsUnderTheProcessesRealLimit(t *testing.T) {
-	folder := t.TempDir()
-	program := filepath.Join(folder, "hatchproxy")
+// Guards against idle clients that take all descriptors when the process may open fewer than its configuration says. While
+// the discovery service was down, the event loop ended at the first connection for which no descriptor was left.
+func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
+	dir := t.TempDir()
+	program := filepath.Join(dir, "hatchproxy")
 	out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput()
 	require.NoError(t, err, string(out))
 	list, err := fleet.ByHand()
@@ -30,9 +30,9 @@
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, free.Close())
-	at := free.Addr().String()
-	file, none := filepath.Join(folder, "config.json"), strings.Replace(configTemplate, `"rev":900`, `"rev":0`, 1)
-	require.NoError(t, os.WriteFile(file, []byte(fmt.Sprintf(none, at, list.Address())), 0o600))
+	address := free.Addr().String()
+	file, emptyListConfig := filepath.Join(dir, "config.json"), strings.Replace(configTemplate, `"rev":900`, `"rev":0`, 1)
+	require.NoError(t, os.WriteFile(file, []byte(fmt.Sprintf(emptyListConfig, address, list.Address())), 0o600))
 
 	proxy := exec.Command("/bin/sh", "-c", `ulimit -n 96; exec "$0" serve --config "$1" --log-level error`, program, file)
 	require.NoError(t, proxy.Start())
@@ -49,32 +49,32 @@
 		}
 	}
 	dial := func() net.Conn {
-		var c net.Conn
+		var conn net.Conn
 		require.Eventually(t, func() bool {
-			c, err = net.Dial("tcp", at)
+			conn, err = net.Dial("tcp", address)
 			return err == nil || !running()
 		}, 5*time.Second, 5*time.Millisecond)
-		require.True(t, running(), "it serves on")
+		require.True(t, running(), "the process is still running")
 		require.NoError(t, err)
-		return c
+		return conn
 	}
 	for range 200 {
-		c := dial()
-		defer c.Close()
+		conn := dial()
+		defer conn.Close()
 	}
 	server, err := fleet.NewPuppet(nil)
 	require.NoError(t, err)
 	list.Set("s1", server.Address, "ready")
 	list.Break("")
 	require.Eventually(t, func() bool {
-		c := dial()
-		defer c.Close()
-		_ = c.SetDeadline(time.Now().Add(time.Second))
-		_, _ = c.Write([]byte("OPEN 1 2 c=chat,d=200\r\n"))
-		word := make([]byte, 11)
-		_, _ = io.ReadFull(c, word)
-		return string(word) == "UP puppet\r\n"
-	}, 6*time.Second, 20*time.Millisecond, "a call for the list finds a descriptor")
+		conn := dial()
+		defer conn.Close()
+		_ = conn.SetDeadline(time.Now().Add(time.Second))
+		_, _ = conn.Write([]byte("OPEN 1 2 c=chat,d=200\r\n"))
+		answer := make([]byte, 11)
+		_, _ = io.ReadFull(conn, answer)
+		return string(answer) == "UP puppet\r\n"
+	}, 6*time.Second, 20*time.Millisecond, "a descriptor is left for the call to the discovery service")
 	require.NoError(t, proxy.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, <-ended)
 }
--- a/cmd/hatchproxy/faults_test.go
+++ b/cmd/hatchproxy/faults_test.go
@@ -23,20 +23,20 @@
 	"hatchproxy/lab/sysfault"
 )
 
-// buildProxy builds the proxy once for all tests that run it as a process of its own.
+// buildProxy builds the program once for all tests that run it as a separate process, and returns its path.
 var buildProxy = sync.OnceValues(func() (string, error) {
-	folder, err := os.MkdirTemp("", "hatchproxy-test-")
+	dir, err := os.MkdirTemp("", "hatchproxy-test-")
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(folder, "hatchproxy")
+	path := filepath.Join(dir, "hatchproxy")
 	if out, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w\n%s", err, out)
 	}
 	return path, nil
 })
 
-// faultedProxy is a proxy's process whose system calls can be made to fail.
+// faultedProxy is a proxy process whose system calls can be made to fail.
 type faultedProxy struct {
 	t          *testing.T
 	address    string
@@ -48,24 +48,26 @@
 	logPath    string
 }
 
-// launchOptions is how a proxy's process is started.
+// launchOptions are the options with which a proxy process is started.
 type launchOptions struct {
-	serverAnswer string // of the server
+	serverAnswer string // answer of the server to each request
 	faultGroups  []sysfault.Call
-	faults       []sysfault.Fault // that hold from the first system call on
-	adminAddress string           // the operators' address; none if empty
-	address      string           // the clients'; a free one if empty
-	stderr       *os.File         // in place of a file
+	faults       []sysfault.Fault // in effect from the first system call on
+	adminAddress string           // none if empty
+	address      string           // for clients; a free one if empty
+	stderr       *os.File         // replaces the log file
 }
 
-// newFaultedProxy starts a proxy before a server that answers so; faults hold from the first system call on.
+// newFaultedProxy starts a proxy with one server, which answers with serverAnswer. The faults apply from the first system
+// call on.
 func newFaultedProxy(t *testing.T, answer string, groups []sysfault.Call, faults ...sysfault.Fault) *faultedProxy {
 	return launchOptions{serverAnswer: answer, faultGroups: groups, faults: faults}.start(t)
 }
 
 var hostCounter atomic.Uint32
 
-// freeAddress is one on a host of its own: no outgoing connection, and no other test, can take its port meanwhile.
+// freeAddress returns a free address on a loopback host that nothing else uses, so that neither an outgoing connection nor
+// another test can take its port in the meantime.
 func freeAddress(t *testing.T) string {
 	n := hostCounter.Add(1)
 	free, err := net.Listen("tcp", fmt.Sprintf("127.5.%d.%d:0", n/250, n%250+1))
@@ -74,6 +76,7 @@
 	return free.Addr().String()
 }
 
+// start starts the process. It is killed at the end of the test.
 func (l launchOptions) start(t *testing.T) *faultedProxy {
 	path, err := buildProxy()
 	require.NoError(t, err)
@@ -82,22 +85,22 @@
 	server, err := fleet.NewPuppet(func(string) string { return l.serverAnswer })
 	require.NoError(t, err)
 	list.Set("s1", server.Address, "ready")
-	folder := t.TempDir()
-	p := &faultedProxy{t: t, address: cmp.Or(l.address, freeAddress(t)), list: list, ended: make(chan struct{}), logPath: filepath.Join(folder, "log"),
-		configPath: filepath.Join(folder, "config.json")}
+	dir := t.TempDir()
+	p := &faultedProxy{t: t, address: cmp.Or(l.address, freeAddress(t)), list: list, ended: make(chan struct{}), logPath: filepath.Join(dir, "log"),
+		configPath: filepath.Join(dir, "config.json")}
 	p.configure(list, l.adminAddress)
-	log, err := os.Create(p.logPath)
+	logFile, err := os.Create(p.logPath)
 	require.NoError(t, err)
-	defer log.Close()
+	defer logFile.Close()
 	p.command = exec.Command(path, "serve", "--config", p.configPath)
-	p.command.Stdout, p.command.Stderr = log, log
+	p.command.Stdout, p.command.Stderr = logFile, logFile
 	if l.stderr != nil {
 		p.command.Stderr = l.stderr
 	}
 	p.shim, err = sysfault.Start(p.command, 46, l.faultGroups...)
 	require.NoError(t, err)
-	for _, f := range l.faults {
-		p.shim.Begin(f)
+	for _, fault := range l.faults {
+		p.shim.Begin(fault)
 	}
 	go func() {
 		_ = p.command.Wait()
@@ -108,24 +111,24 @@
 		<-p.ended
 		<-p.shim.Ended()
 		if text, err := os.ReadFile(p.logPath); err == nil && t.Failed() {
-			t.Logf("the proxy's log:\n%s", text)
+			t.Logf("log of the proxy:\n%s", text)
 		}
 	})
 	return p
 }
 
-// configure writes the configuration, whole or not at all.
-func (p *faultedProxy) configure(list *fleet.Hand, admin string) {
+// configure replaces the configuration file atomically.
+func (p *faultedProxy) configure(list *fleet.Hand, adminAddress string) {
 	text := strings.Replace(configTemplate, `"rev":900`, `"rev":0`, 1)
 	text = strings.Replace(text, `"hard-limit-ms":300.0`, `"hard-limit-ms":1800.0`, 1)
-	if admin != "" {
-		text = strings.Replace(text, `"seed"`, fmt.Sprintf(`"admin_addr":%q,"seed"`, admin), 1)
+	if adminAddress != "" {
+		text = strings.Replace(text, `"seed"`, fmt.Sprintf(`"admin_addr":%q,"seed"`, adminAddress), 1)
 	}
 	require.NoError(p.t, os.WriteFile(p.configPath+".new", []byte(fmt.Sprintf(text, p.address, list.Address())), 0o600))
 	require.NoError(p.t, os.Rename(p.configPath+".new", p.configPath))
 }
 
-// requireRunning fails the test where the process has ended.
+// requireRunning fails the test if the process has ended.
 func (p *faultedProxy) requireRunning() {
 	p.t.Helper()
 	select {
@@ -135,20 +138,21 @@
 	}
 }
 
-// roundTrip says a line on a new connection and returns the line that comes back.
+// roundTrip sends a line on a new connection and returns the answer.
 func (p *faultedProxy) roundTrip(line string, within time.Duration) (string, error) {
-	c, err := net.DialTimeout("tcp", p.address, within)
+	conn, err := net.DialTimeout("tcp", p.address, within)
 	if err != nil {
 		return "", err
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(within))
-	if _, err := c.Write([]byte(line + "\r\n")); err != nil {
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(within))
+	if _, err := conn.Write([]byte(line + "\r\n")); err != nil {
 		return "", err
 	}
-	return bufio.NewReader(c).ReadString('\n')
+	return bufio.NewReader(conn).ReadString('\n')
 }
 
+// waitReady waits until the proxy answers a PING.
 func (p *faultedProxy) waitReady() {
 	p.t.Helper()
 	require.Eventually(p.t, func() bool {
@@ -158,9 +162,9 @@
 	}, 10*time.Second, 10*time.Millisecond)
 }
 
-// The incident of 2026-12-02: one accept failed for a moment, the event loop ended, requests in hand were closed without
-// an answer, and the process left with exit code 0.
-func TestAFailingAcceptEndsNoRequest(t *testing.T) {
+// Guards against the incident of 2026-12-02: a transient failure of accept ended the event loop, pending requests were closed
+// without an answer, and the process exited with code 0.
+func TestFailedAcceptsEndNoRequest(t *testing.T) {
 	for _, errno := range append(sysfault.Usual[sysfault.Accept], unix.EPROTO, unix.ENETDOWN) {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			t.Parallel()
@@ -172,29 +176,29 @@
 			asked := time.Now()
 			_, err = pending.Write([]byte("OPEN 1 2 c=chat,d=1000\r\n"))
 			require.NoError(t, err)
-			p.waitReady() // its line has been read by now
+			p.waitReady() // the proxy has read the request by now
 			p.shim.Begin(sysfault.Fault{Call: sysfault.Accept, Errors: []syscall.Errno{errno}, Chance: 1, Most: 3})
 			for p.shim.Failed()[sysfault.Accept][unix.ErrnoName(errno)] < 3 {
 				line, err := p.roundTrip("PING", 2*time.Second)
 				p.requireRunning()
 				require.NoError(t, err)
-				require.Equal(t, "PONG\r\n", line, "who came in that moment is served")
+				require.Equal(t, "PONG\r\n", line, "a client that connects meanwhile is served")
 			}
 			require.NoError(t, pending.SetReadDeadline(asked.Add(1100*time.Millisecond)))
 			line, err := bufio.NewReader(pending).ReadString('\n')
 			require.NoError(t, err)
-			require.Contains(t, []string{"BUSY\r\n", "ERR\r\n"}, line, "what was in hand gets its one answer")
+			require.Contains(t, []string{"BUSY\r\n", "ERR\r\n"}, line, "the pending request gets one answer")
 		})
 	}
 }
 
-// A process that cannot get or accept on a socket for a moment at its start serves a moment later. The language's runtime
-// itself ends where its own poller cannot be had, so that is not tried.
-func TestAStartOutlastsCallsThatFailForAMoment(t *testing.T) {
-	for group, most := range map[sysfault.Call]int{sysfault.Socket: 6, sysfault.Accept: 6} {
+// Transient failures to create a socket or to accept at the start must only delay the proxy. Failures to create the poller
+// are not tested, because the Go runtime itself exits then.
+func TestStartRetriesSocketAndAccept(t *testing.T) {
+	for group, failures := range map[sysfault.Call]int{sysfault.Socket: 6, sysfault.Accept: 6} {
 		t.Run(string(group), func(t *testing.T) {
 			t.Parallel()
-			p := newFaultedProxy(t, "UP a", []sysfault.Call{group}, sysfault.Fault{Call: group, Chance: 1, Most: most})
+			p := newFaultedProxy(t, "UP a", []sysfault.Call{group}, sysfault.Fault{Call: group, Chance: 1, Most: failures})
 			p.waitReady()
 			require.Eventually(t, func() bool {
 				line, err := p.roundTrip("OPEN 1 2 c=chat,d=1000", 2*time.Second)
@@ -204,9 +208,9 @@
 	}
 }
 
-// Whichever registration with a poller, or opened file, fails at the start: the process serves. The first ones are the
-// system's loader's and the runtime's own, without which no program starts.
-func TestAStartOutlastsAnyCallThatFails(t *testing.T) {
+// A single failure at the start, of any registration with a poller or of any opened file, must not keep the proxy from
+// serving. The first calls are skipped: they belong to the dynamic loader and the Go runtime, which cannot do without them.
+func TestStartSurvivesAnySingleFailure(t *testing.T) {
 	for group, first := range map[sysfault.Call]int{sysfault.Control: 1, sysfault.Open: 2} {
 		for skip := first; skip <= 24; skip++ {
 			t.Run(fmt.Sprint(group, " number ", skip+1), func(t *testing.T) {
@@ -221,8 +225,8 @@
 	}
 }
 
-// A process that is told to end while its address is still taken ends in good order.
-func TestAStartThatIsCalledOffEndsInGoodOrder(t *testing.T) {
+// A process that gets SIGTERM while it still waits for its address must exit with code 0.
+func TestSIGTERMDuringStart(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer taken.Close()
@@ -236,12 +240,12 @@
 	case <-p.ended:
 		require.True(t, p.command.ProcessState.Success(), "%s", p.command.ProcessState)
 	case <-time.After(2 * time.Second):
-		require.Fail(t, "it never ended")
+		require.Fail(t, "the process did not end")
 	}
 }
 
-// A socket that this machine cannot have for a moment says nothing of the server that it was for.
-func TestADialThatFailsForWantOfResourcesIsTriedAgainInTime(t *testing.T) {
+// A connection attempt that fails because this machine is short of a resource must not count against the server.
+func TestDialIsRetriedOnResourceShortage(t *testing.T) {
 	for group, errnos := range map[sysfault.Call][]syscall.Errno{
 		sysfault.Socket:  sysfault.Usual[sysfault.Socket],
 		sysfault.Connect: {unix.EADDRNOTAVAIL},
@@ -253,7 +257,7 @@
 			p := newFaultedProxy(t, "UP a", []sysfault.Call{group})
 			p.waitReady()
 			for n := 1; n <= 4; n++ {
-				// More often than the three attempts that a request has.
+				// more failures than a request has attempts, which are three
 				p.shim.Begin(sysfault.Fault{Call: group, Errors: errnos, Chance: 1, Most: 4})
 				line, err := p.roundTrip(fmt.Sprintf("OPEN %d 2 c=chat,d=1500", n), 2*time.Second)
 				require.NoError(t, err)
@@ -263,9 +267,9 @@
 	}
 }
 
-// A configuration that cannot be read for a moment, at the start or at SIGHUP, is read a moment later: what the new service
-// tells counts soon after the signal, whether or not the file could be read.
-func TestAConfigurationThatCannotBeReadForAMomentIsReadAMomentLater(t *testing.T) {
+// Reading the configuration must be retried after transient failures: the list of the new discovery service has to take effect
+// soon after SIGHUP, even if the file could not be read at first.
+func TestReadingTheConfigurationIsRetried(t *testing.T) {
 	for _, errno := range sysfault.Usual[sysfault.Open] {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			t.Parallel()
@@ -276,16 +280,16 @@
 			p.configure(next, "")
 			p.shim.Begin(sysfault.Fault{Call: sysfault.Open, Errors: []syscall.Errno{errno}, Chance: 1, Most: 3})
 			require.NoError(t, p.command.Process.Signal(syscall.SIGHUP))
-			require.Eventually(t, func() bool { return next.Calls() > 0 }, 3*time.Second, 10*time.Millisecond, "the new service is asked")
+			require.Eventually(t, func() bool { return next.Calls() > 0 }, 3*time.Second, 10*time.Millisecond, "the new service is called")
 			require.Equal(t, 3, p.shim.Failed()[sysfault.Open][unix.ErrnoName(errno)])
 		})
 	}
 }
 
-// Whoever reads the log may go, or stop reading: that is no reason to end, or to wait.
-func TestALogThatNobodyReadsHoldsNothingUp(t *testing.T) {
-	for _, gone := range []bool{true, false} {
-		t.Run(fmt.Sprint("gone ", gone), func(t *testing.T) {
+// A reader of the log that closes the pipe, or stops reading, must neither end nor block the proxy.
+func TestAStuckOrClosedLogDoesNotBlock(t *testing.T) {
+	for _, closed := range []bool{true, false} {
+		t.Run(fmt.Sprint("closed ", closed), func(t *testing.T) {
 			t.Parallel()
 			reader, writer, err := os.Pipe()
 			require.NoError(t, err)
@@ -293,12 +297,12 @@
 			defer writer.Close()
 			_, err = unix.FcntlInt(writer.Fd(), unix.F_SETPIPE_SZ, 4096)
 			require.NoError(t, err)
-			if gone {
+			if closed {
 				require.NoError(t, reader.Close())
 			}
 			p := launchOptions{serverAnswer: "UP a", faultGroups: []sysfault.Call{sysfault.Accept}, stderr: writer}.start(t)
 			p.waitReady()
-			for range 60 { // each is a line of the log
+			for range 60 { // each is logged
 				require.NoError(t, p.command.Process.Signal(syscall.SIGHUP))
 				line, err := p.roundTrip("PING", time.Second)
 				p.requireRunning()
@@ -310,22 +314,22 @@
 			case <-p.ended:
 				require.True(t, p.command.ProcessState.Success(), "%s", p.command.ProcessState)
 			case <-time.After(5 * time.Second):
-				require.Fail(t, "it never ended")
+				require.Fail(t, "the process did not end")
 			}
 		})
 	}
 }
 
-// The operators' address is still there after its accepts have failed for a moment.
-func TestTheAdminAddressOutlastsFailingAccepts(t *testing.T) {
-	admin := freeAddress(t)
-	p := launchOptions{serverAnswer: "UP a", faultGroups: []sysfault.Call{sysfault.Accept}, adminAddress: admin}.start(t)
+// The admin API must remain available after transient failures of accept.
+func TestAdminSurvivesFailedAccepts(t *testing.T) {
+	address := freeAddress(t)
+	p := launchOptions{serverAnswer: "UP a", faultGroups: []sysfault.Call{sysfault.Accept}, adminAddress: address}.start(t)
 	p.waitReady()
 	client := http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, errno := range sysfault.Usual[sysfault.Accept] {
 		end := p.shim.Begin(sysfault.Fault{Call: sysfault.Accept, Errors: []syscall.Errno{errno}, Chance: 1})
 		time.AfterFunc(50*time.Millisecond, end)
-		response, err := client.Get("http://" + admin + "/api/telemetry")
+		response, err := client.Get("http://" + address + "/api/telemetry")
 		require.NoError(t, err, unix.ErrnoName(errno))
 		require.NoError(t, response.Body.Close())
 	}
--- a/cmd/hatchproxy/main_test.go
+++ b/cmd/hatchproxy/main_test.go
@@ -15,12 +15,13 @@
 	"hatchproxy/lab/fleet"
 )
 
+// configTemplate is a configuration with places for the listen and discovery addresses.
 const configTemplate = `{"name":"n0","listen":"%s","discovery":"%s","seed":"7","limits":{"cores":1.0,"memory_mb":64,"sockets":256},
 "known":{"rev":900,"all":true,"targets":[]},"settings":{"localities":["a"],"models":["m"],"membership-mode":"subscribe","limits":{"max-dispatches":3},
 "products":[{"name":"chat","idempotency":"repeatable","hard-limit-ms":300.0}]}}`
 
-// Guards against a proxy that ends on SIGHUP, takes a broken file for its configuration, or stays with the old service.
-func TestOnSIGHUPTheListIsHadWhereTheNewFileSays(t *testing.T) {
+// Guards against a proxy that ends on SIGHUP, applies a broken configuration, or stays with the previous discovery service.
+func TestSIGHUPSwitchesTheDiscoveryService(t *testing.T) {
 	lists := make([]*fleet.Hand, 3)
 	for i := range lists {
 		var err error
@@ -30,42 +31,42 @@
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, free.Close())
-	file := filepath.Join(t.TempDir(), "config.json")
+	path := filepath.Join(t.TempDir(), "config.json")
 	replace := func(text string) {
-		require.NoError(t, os.WriteFile(file+".new", []byte(text), 0o600))
-		require.NoError(t, os.Rename(file+".new", file))
+		require.NoError(t, os.WriteFile(path+".new", []byte(text), 0o600))
+		require.NoError(t, os.Rename(path+".new", path))
 	}
-	at := func(list *fleet.Hand) string { return fmt.Sprintf(configTemplate, free.Addr(), list.Address()) }
-	hears := func(list *fleet.Hand) {
+	configFor := func(list *fleet.Hand) string { return fmt.Sprintf(configTemplate, free.Addr(), list.Address()) }
+	waitForCall := func(list *fleet.Hand) {
 		calls := list.Calls()
 		require.Eventually(t, func() bool { return list.Calls() > calls }, 4*time.Second, 5*time.Millisecond)
 	}
 	t.Setenv("ROUTER_DISCOVERY", lists[0].Address())
-	replace(at(lists[0]))
+	replace(configFor(lists[0]))
 	ended := make(chan error, 1)
-	go func() { ended <- run([]string{"serve", "--config", file, "--log-level", "error"}, io.Discard) }()
-	hears(lists[0])
+	go func() { ended <- run([]string{"serve", "--config", path, "--log-level", "error"}, io.Discard) }()
+	waitForCall(lists[0])
 	for _, list := range []*fleet.Hand{lists[1], lists[2], lists[0]} {
 		replace("{")
 		require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 		time.Sleep(100 * time.Millisecond)
-		replace(at(list))
+		replace(configFor(list))
 		require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-		hears(list)
-		b, err := fleet.NewPuppet(nil)
+		waitForCall(list)
+		server, err := fleet.NewPuppet(nil)
 		require.NoError(t, err)
-		list.Set("s1", b.Address, "ready")
+		list.Set("s1", server.Address, "ready")
 		require.Eventually(t, func() bool {
-			c, err := net.Dial("tcp", free.Addr().String())
+			conn, err := net.Dial("tcp", free.Addr().String())
 			if err != nil {
 				return false
 			}
-			defer c.Close()
-			_, _ = c.Write([]byte("OPEN 1 2 c=chat,d=200\r\n"))
-			word := make([]byte, 11)
-			_, _ = io.ReadFull(c, word)
-			return string(word) == "UP puppet\r\n" && len(b.Lines()) > 0
-		}, 4*time.Second, 10*time.Millisecond, "changes of the new list are followed from its own versions")
+			defer conn.Close()
+			_, _ = conn.Write([]byte("OPEN 1 2 c=chat,d=200\r\n"))
+			answer := make([]byte, 11)
+			_, _ = io.ReadFull(conn, answer)
+			return string(answer) == "UP puppet\r\n" && len(server.Lines()) > 0
+		}, 4*time.Second, 10*time.Millisecond, "the new list is followed from its own versions")
 	}
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 	require.NoError(t, <-ended)
