--- a/internal/platformconfig/config.go
+++ b/internal/platformconfig/config.go
@@ -185,8 +185,8 @@
 	return errors.Join(faults...)
 }
 
-// CheckReplaces returns an error if p must not replace other: each key of other must be in p as well, with a value of the
-// same kind. Guards against a file that was cut short or lost a line and is still valid JSON.
+// CheckReplaces returns an error if c must not replace other: each key of other must be in c as well, with a value of the
+// same kind, unless it is null in other. Guards against a file that was cut short or lost a line and is still valid JSON.
 func (c *Config) CheckReplaces(other *Config) error {
 	for _, path := range slices.Sorted(maps.Keys(other.kindByKey)) {
 		kind, exists := c.kindByKey[path]
--- a/internal/platformconfig/settings.go
+++ b/internal/platformconfig/settings.go
@@ -129,7 +129,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// These settings have no influence on the balancer, but values that are not valid numbers are still errors.
+	// What these settings weigh, the balancer takes into account anyway, so their values have no influence. Values that are
+	// not valid numbers are still errors.
 	blend, err := s.numbers("blend.nines", "blend.nines-wanted")
 	if err != nil {
 		return nil, err
--- a/internal/succession/succession.go
+++ b/internal/succession/succession.go
@@ -73,7 +73,7 @@
 			continue // not file descriptors, e.g. credentials
 		}
 		for _, fd := range fds {
-			files = append(files, os.NewFile(uintptr(fd), "passed on"))
+			files = append(files, os.NewFile(uintptr(fd), "received"))
 		}
 	}
 	if flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
