--- a/agent/agent.go
+++ b/agent/agent.go
@@ -27,28 +27,30 @@
 type Plan struct {
 	Name     string     // the agent's, the same after a restart
 	Listen   string     // where the tool and other agents reach it: a loopback address with a port
-	Log      string     // where it listens for the other agents' logs: the same
-	Reached  string     // where they reach that, if elsewhere: behind a translation of addresses
-	From     string     // the address that it calls other agents from; any if missing
-	Beat     string     // how long a leader may be silent until another is chosen, such as "1s"; the same for all agents
-	Hears    bool       // it has no vote at first: it hears what is agreed on
+	Log      string     `toml:"log"`     // where it listens for the other agents' logs: the same
+	Reached  string     `toml:"reached"` // where they reach that, if elsewhere: behind a translation of addresses
+	From     string     `toml:"from"`    // the address that it calls other agents from; any if missing
+	Beat     string     `toml:"beat"`    // how long a leader may be silent until another is chosen, such as "1s"; the same for all agents
+	Hears    bool       `toml:"hears"`   // it has no vote at first: it hears what is agreed on
 	Duties   []string   // that it stands for: "conductor"
-	Data     string     // the folder of its log, and of the instances' logs
-	Peer     []Peer     // the other agents
-	Instance []Instance // those that it keeps
+	Data     string     `toml:"data"`     // the folder of its log, and of the instances' logs
+	Peer     []Peer     `toml:"peer"`     // the other agents
+	Instance []Instance `toml:"instance"` // those that it keeps
 }
 
 // Peer is another agent.
 type Peer struct {
-	Name, Listen, Log string
-	Hears             bool // it has no vote at first
+	Name   string
+	Listen string
+	Log    string `toml:"log"`
+	Hears  bool   `toml:"hears"` // it has no vote at first
 }
 
 // Instance is one that the agent keeps.
 type Instance struct {
 	Name    string
 	Command []string // what starts it; --control and --orders are added
-	Control string   // where its control surface is to be
+	Control string   `toml:"control"` // where its control surface is to be
 }
 
 var names = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$`)
