--- a/agent/members/members.go
+++ b/agent/members/members.go
@@ -22,70 +22,70 @@
 
 // Member is one with its state and since when.
 type Member struct {
-	Name  string       `json:"name"`
-	Kind  string       `json:"kind"`
-	State State        `json:"state"`
-	Since logic.Micros `json:"since"`
-	Heard logic.Micros `json:"heard"` // 0 for never
+	Name       string       `json:"name"`
+	Kind       string       `json:"kind"`
+	State      State        `json:"state"`
+	StateSince logic.Micros `json:"since"`
+	HeardAt    logic.Micros `json:"heard"` // 0 for never
 }
 
-// Roll is who there is.
-type Roll struct {
-	suspect, lose, settle logic.Micros
-	members               map[string]*Member
+// List is who there is.
+type List struct {
+	suspectAfter, lostAfter, recoverAfter logic.Micros
+	members                               map[string]*Member
 }
 
 // New makes an empty roll: a member is suspected after a silence, lost after a longer one, and alive again some time
 // after it is back.
-func New(suspect, lose, settle logic.Micros) *Roll {
-	return &Roll{suspect, lose, settle, map[string]*Member{}}
+func New(suspect, lose, settle logic.Micros) *List {
+	return &List{suspect, lose, settle, map[string]*Member{}}
 }
 
 // Expect enters one that is to come.
-func (r *Roll) Expect(now logic.Micros, name, kind string) {
+func (r *List) Expect(now logic.Micros, name, kind string) {
 	if r.members[name] == nil {
-		r.members[name] = &Member{Name: name, Kind: kind, State: Joining, Since: now}
+		r.members[name] = &Member{Name: name, Kind: kind, State: Joining, StateSince: now}
 	}
 }
 
-// Heard takes a heartbeat; true if the member's state has changed.
-func (r *Roll) Heard(now logic.Micros, name string) bool {
+// RecordHeartbeat takes a heartbeat; true if the member's state has changed.
+func (r *List) RecordHeartbeat(now logic.Micros, name string) bool {
 	m := r.members[name]
 	if m == nil {
 		return false
 	}
-	m.Heard = max(m.Heard, now)
+	m.HeardAt = max(m.HeardAt, now)
 	switch m.State {
 	case Lost, Left:
-		return m.to(now, Back)
+		return m.setState(now, Back)
 	case Back:
-		return now-m.Since >= r.settle && m.to(now, Alive)
+		return now-m.StateSince >= r.recoverAfter && m.setState(now, Alive)
 	case Alive:
 		return false
 	}
-	return m.to(now, Alive)
+	return m.setState(now, Alive)
 }
 
-// Leaves takes the word of one that goes.
-func (r *Roll) Leaves(now logic.Micros, name string) bool {
+// MarkLeft takes the word of one that goes.
+func (r *List) MarkLeft(now logic.Micros, name string) bool {
 	m := r.members[name]
-	return m != nil && m.State != Left && m.to(now, Left)
+	return m != nil && m.State != Left && m.setState(now, Left)
 }
 
 // Tick finds those that have been silent, and returns whose state has changed, by name.
-func (r *Roll) Tick(now logic.Micros) []Member {
+func (r *List) Tick(now logic.Micros) []Member {
 	var changed []Member
 	for _, m := range r.All() {
 		p := r.members[m.Name]
-		quiet := now - max(m.Heard, 0)
+		quiet := now - max(m.HeardAt, 0)
 		was := m.State
 		switch {
 		case m.State == Left, m.State == Lost:
-		case m.Heard == 0 && now-m.Since < r.lose:
-		case quiet >= r.lose:
-			p.to(now, Lost)
-		case quiet >= r.suspect && m.State != Suspected && m.State != Joining:
-			p.to(now, Suspected)
+		case m.HeardAt == 0 && now-m.StateSince < r.lostAfter:
+		case quiet >= r.lostAfter:
+			p.setState(now, Lost)
+		case quiet >= r.suspectAfter && m.State != Suspected && m.State != Joining:
+			p.setState(now, Suspected)
 		}
 		if p.State != was {
 			changed = append(changed, *p)
@@ -95,7 +95,7 @@
 }
 
 // All are the members by name.
-func (r *Roll) All() []Member {
+func (r *List) All() []Member {
 	all := make([]Member, 0, len(r.members))
 	for _, m := range r.members {
 		all = append(all, *m)
@@ -105,14 +105,14 @@
 }
 
 // State is a member's; "" if there is none of that name.
-func (r *Roll) State(name string) State {
+func (r *List) State(name string) State {
 	if m := r.members[name]; m != nil {
 		return m.State
 	}
 	return ""
 }
 
-func (m *Member) to(now logic.Micros, s State) bool {
-	m.State, m.Since = s, now
+func (m *Member) setState(now logic.Micros, s State) bool {
+	m.State, m.StateSince = s, now
 	return true
 }
--- a/agent/process.go
+++ b/agent/process.go
@@ -15,15 +15,15 @@
 // process is an instance's, started by this agent or by one before it: an agent that dies leaves its instances
 // running, and the next one finds them by what is written beside their logs.
 type process struct {
-	PID     int    `json:"pid"`
-	Start   string `json:"start"`   // the kernel's: tells a process from a later one of the same number
-	Restart uint64 `json:"restart"` // the command that it was last started anew for
+	PID           int    `json:"pid"`
+	StartTime     string `json:"start"`   // the kernel's: tells a process from a later one of the same number
+	RestartNumber uint64 `json:"restart"` // the command that it was last started anew for
 
-	ended chan string // of an own child; nil of one that was found
+	exitReason chan string // of an own child; nil of one that was found
 }
 
-// launch starts one that outlives this program.
-func launch(command []string, log string, restart uint64) (*process, error) {
+// startProcess starts one that outlives this program.
+func startProcess(command []string, log string, restart uint64) (*process, error) {
 	out, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
@@ -35,20 +35,20 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	p := &process{PID: cmd.Process.Pid, Restart: restart, ended: make(chan string, 1)}
-	_, p.Start = procStart(p.PID)
+	p := &process{PID: cmd.Process.Pid, RestartNumber: restart, exitReason: make(chan string, 1)}
+	_, p.StartTime = kernelStartTime(p.PID)
 	go func() {
 		why := "it ended by itself"
 		if err := cmd.Wait(); err != nil {
 			why = err.Error()
 		}
-		p.ended <- why
+		p.exitReason <- why
 	}()
 	return p, nil
 }
 
-// procStart reads when a process started, by the kernel's count; false if there is none, or only its remains.
-func procStart(pid int) (bool, string) {
+// kernelStartTime reads when a process started, by the kernel's count; false if there is none, or only its remains.
+func kernelStartTime(pid int) (bool, string) {
 	text, err := transient.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return false, ""
@@ -60,18 +60,18 @@
 	return true, words[19]
 }
 
-// gone tells whether it has ended, and why.
-func (p *process) gone() (bool, string) {
-	if p.ended != nil {
+// hasExited tells whether it has ended, and why.
+func (p *process) hasExited() (bool, string) {
+	if p.exitReason != nil {
 		select {
-		case why := <-p.ended:
+		case why := <-p.exitReason:
 			return true, why
 		default:
 			return false, ""
 		}
 	}
-	there, start := procStart(p.PID)
-	return !there || start != p.Start, "it ended"
+	there, start := kernelStartTime(p.PID)
+	return !there || start != p.StartTime, "it ended"
 }
 
 func (p *process) signal(s syscall.Signal) { _ = syscall.Kill(p.PID, s) }
@@ -82,11 +82,11 @@
 	if err != nil {
 		return err
 	}
-	return replace(path, text)
+	return writeFileAtomically(path, text)
 }
 
-// replace writes a file whole or not at all.
-func replace(path string, text []byte) error {
+// writeFileAtomically writes a file whole or not at all.
+func writeFileAtomically(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".new-")
 	if err != nil {
 		return err
@@ -107,17 +107,17 @@
 	return err
 }
 
-// intended is the restart for which an instance was last started, or was about to be.
-func intended(path string) uint64 {
+// savedRestartNumber is the restart for which an instance was last started, or was about to be.
+func savedRestartNumber(path string) uint64 {
 	var p process
 	if text, err := transient.ReadFile(path); err == nil {
 		_ = json.Unmarshal(text, &p) // what is torn tells nothing: 0
 	}
-	return p.Restart
+	return p.RestartNumber
 }
 
-// found is the process of an instance that an agent before this one has left running; nil if there is none.
-func found(path string) *process {
+// findRunningProcess is the process of an instance that an agent before this one has left running; nil if there is none.
+func findRunningProcess(path string) *process {
 	// Guards against a second process beside one that runs, since the file could not be read for a moment.
 	text, err := transient.ReadFile(path)
 	if err != nil {
@@ -127,7 +127,7 @@
 	if json.Unmarshal(text, &p) != nil || p.PID <= 1 {
 		return nil
 	}
-	if over, _ := p.gone(); over {
+	if over, _ := p.hasExited(); over {
 		return nil
 	}
 	return &p
--- a/cmd/hatchagent/main.go
+++ b/cmd/hatchagent/main.go
@@ -19,13 +19,13 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is an error of the write, as a full disk is
-	if err := command().ExecuteContext(ctx); err != nil {
+	if err := newRootCommand().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "hatchagent:", err)
 		os.Exit(2)
 	}
 }
 
-func command() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	var level, testClock string
 	root := &cobra.Command{
 		Use: "hatchagent", Short: "Keeps instances of hatchproxy running and brings each to what was ordered",
@@ -40,7 +40,7 @@
 
 Exit codes: 0 it was told to end, 2 it could not run (a file that is wrong, a log that is torn, an address in use).`,
 		RunE: func(c *cobra.Command, args []string) error {
-			plan, err := agent.ReadPlan(args[0])
+			plan, err := agent.ReadConfig(args[0])
 			if err != nil {
 				return err
 			}
@@ -48,7 +48,7 @@
 			if err := lowest.UnmarshalText([]byte(level)); err != nil {
 				return fmt.Errorf("--log-level: %w", err)
 			}
-			clock, err := agent.FaultyClock(testClock)
+			clock, err := agent.ParseTestClock(testClock)
 			if err != nil {
 				return err
 			}
@@ -64,9 +64,9 @@
 	check := &cobra.Command{
 		Use: "check FILE", Short: "Read the agent's file and say what is wrong with it", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			plan, err := agent.ReadPlan(args[0])
+			plan, err := agent.ReadConfig(args[0])
 			if err == nil {
-				fmt.Fprintf(c.OutOrStdout(), "%s: good; %d instances, %d other agents\n", plan.Name, len(plan.Instance), len(plan.Peer))
+				fmt.Fprintf(c.OutOrStdout(), "%s: good; %d instances, %d other agents\n", plan.Name, len(plan.Instances), len(plan.Peers))
 			}
 			return err
 		},
--- a/cmd/hatchctl/tool.go
+++ b/cmd/hatchctl/cli.go
@@ -17,36 +17,36 @@
 	"github.com/spf13/cobra"
 
 	"hatchproxy/agent"
-	"hatchproxy/agent/keeper"
-	"hatchproxy/agent/wanted"
+	"hatchproxy/agent/clusterstate"
+	"hatchproxy/agent/supervisor"
 	"hatchproxy/logic"
 )
 
 const (
-	defaultAgent  = "127.0.0.1:7070"
-	defaultWithin = 10 * time.Second
-	asking        = 50 * time.Millisecond
+	defaultAgent   = "127.0.0.1:7070"
+	defaultTimeout = 10 * time.Second
+	pollInterval   = 50 * time.Millisecond
 )
 
-// tool is what all commands have in common.
-type tool struct {
-	agents []string
-	json   bool
-	within time.Duration
+// cli is what all commands have in common.
+type cli struct {
+	agentAddresses []string
+	asJSON         bool
+	timeout        time.Duration
 }
 
-func agentsFrom(text string) []string {
+func parseAgents(text string) []string {
 	if text == "" {
 		return []string{defaultAgent}
 	}
 	return strings.Split(text, ",")
 }
 
-// each asks one agent after the other until one answers.
-func (t *tool) each(ctx context.Context, ask func(context.Context, *agent.Client) error) error {
+// tryAgents asks one agent after the other until one answers.
+func (t *cli) tryAgents(ctx context.Context, ask func(context.Context, *agent.Client) error) error {
 	var last error
-	for _, at := range t.agents {
-		c := agent.Dial(at)
+	for _, at := range t.agentAddresses {
+		c := agent.NewClient(at)
 		call, cancel := context.WithTimeout(ctx, 8*time.Second)
 		last = ask(call, c)
 		cancel()
@@ -59,41 +59,41 @@
 	return last
 }
 
-func (t *tool) view(ctx context.Context) (v agent.View, err error) {
-	return v, t.each(ctx, func(ctx context.Context, c *agent.Client) error {
-		v, err = c.Whole(ctx)
+func (t *cli) view(ctx context.Context) (v agent.View, err error) {
+	return v, t.tryAgents(ctx, func(ctx context.Context, c *agent.Client) error {
+		v, err = c.ClusterView(ctx)
 		return err
 	})
 }
 
-// say has a command agreed on. It is said again, under the same id, where an agent did not answer.
-func (t *tool) say(ctx context.Context, c wanted.Command) (uint64, error) {
+// submit has a command agreed on. It is said again, under the same id, where an agent did not answer.
+func (t *cli) submit(ctx context.Context, c clusterstate.Command) (uint64, error) {
 	if c.ID == "" {
-		c.ID = newID()
+		c.ID = newCommandID()
 	}
-	c.Said = logic.Micros(time.Now().UnixMicro())
-	if err := wanted.Check(c); err != nil {
+	c.IssuedAt = logic.Micros(time.Now().UnixMicro())
+	if err := clusterstate.Validate(c); err != nil {
 		return 0, err
 	}
 	var number uint64
 	var err error
-	for until := time.Now().Add(t.within); ; {
-		err = t.each(ctx, func(ctx context.Context, a *agent.Client) error {
-			number, err = a.Say(ctx, c)
+	for until := time.Now().Add(t.timeout); ; {
+		err = t.tryAgents(ctx, func(ctx context.Context, a *agent.Client) error {
+			number, err = a.Submit(ctx, c)
 			return err
 		})
 		if err == nil || time.Now().After(until) || ctx.Err() != nil {
 			break
 		}
-		time.Sleep(asking * 2)
+		time.Sleep(pollInterval * 2)
 	}
 	if err != nil {
-		return 0, exit{notAgreed, err.Error()}
+		return 0, exitError{exitNotAgreed, err.Error()}
 	}
 	return number, nil
 }
 
-func newID() string {
+func newCommandID() string {
 	b := make([]byte, 6)
 	_, _ = rand.Read(b) // it never fails
 	who := "operator"
@@ -103,39 +103,39 @@
 	return who + "-" + time.Now().UTC().Format("20060102T150405") + "-" + hex.EncodeToString(b)
 }
 
-// answers is what became of a command at each instance.
-type answers struct {
-	ID        string   `json:"id"`
-	Number    uint64   `json:"number"`
-	Instances []answer `json:"instances"`
-	Silent    []string `json:"silent_agents,omitempty"`
+// orderReport is what became of a command at each instance.
+type orderReport struct {
+	ID           string           `json:"id"`
+	Number       uint64           `json:"number"`
+	Instances    []instanceAnswer `json:"instances"`
+	SilentAgents []string         `json:"silent_agents,omitempty"`
 }
 
-type answer struct {
+type instanceAnswer struct {
 	Instance string  `json:"instance"`
 	Agent    string  `json:"agent"`
 	Verdict  string  `json:"verdict"` // obeyed, unknown, stale, refused, no answer, not running
-	Why      string  `json:"why,omitempty"`
+	Reason   string  `json:"why,omitempty"`
 	AfterMS  float64 `json:"after_ms"` // from when the command was said until the instance heard it
 }
 
-// heard tells what each instance has answered to an order so far, and whether all that run have.
-func heard(v agent.View, server string, number uint64, said logic.Micros) (a answers, all bool) {
-	a, all = answers{Number: number, Instances: []answer{}, Silent: v.Silent}, len(v.Silent) == 0
+// collectAnswers tells what each instance has answered to an order so far, and whether all that run have.
+func collectAnswers(v agent.View, server string, number uint64, said logic.Micros) (a orderReport, all bool) {
+	a, all = orderReport{Number: number, Instances: []instanceAnswer{}, SilentAgents: v.SilentAgents}, len(v.SilentAgents) == 0
 	for _, i := range v.Instances {
-		x := answer{Instance: i.Name, Agent: i.Agent, AfterMS: -1}
-		h, known := i.Heard[server]
+		x := instanceAnswer{Instance: i.Name, Agent: i.Agent, AfterMS: -1}
+		h, known := i.OrderResults[server]
 		switch {
 		case known && h.Number >= number:
-			x.Verdict, x.Why = string(h.Verdict), h.Why
-			x.AfterMS = math.Max(0, float64(h.At-said)/1000)
-		case !i.Wanted || i.State == keeper.Stopped:
-			x.Verdict, x.Why = "not running", "it hears the order at its start"
-		case i.State == keeper.Looping:
-			x.Verdict, x.Why = "no answer", "crash loop: "+i.Why
+			x.Verdict, x.Reason = string(h.Verdict), h.Reason
+			x.AfterMS = math.Max(0, float64(h.ReceivedAt-said)/1000)
+		case !i.ShouldRun || i.State == supervisor.Stopped:
+			x.Verdict, x.Reason = "not running", "it hears the order at its start"
+		case i.State == supervisor.CrashLooping:
+			x.Verdict, x.Reason = "no answer", "crash loop: "+i.Reason
 			all = false
 		default:
-			x.Verdict, x.Why = "no answer", string(i.State)+", "+string(i.Member)
+			x.Verdict, x.Reason = "no answer", string(i.State)+", "+string(i.MemberState)
 			all = false
 		}
 		a.Instances = append(a.Instances, x)
@@ -143,14 +143,14 @@
 	return a, all
 }
 
-// follow waits until all instances have answered an order, or the time is over.
-func (t *tool) follow(c *cobra.Command, cmd wanted.Command, number uint64) error {
-	var a answers
+// awaitAnswers waits until all instances have answered an order, or the time is over.
+func (t *cli) awaitAnswers(c *cobra.Command, cmd clusterstate.Command, number uint64) error {
+	var a orderReport
 	var all bool
-	for until := time.Now().Add(t.within); ; time.Sleep(asking) {
+	for until := time.Now().Add(t.timeout); ; time.Sleep(pollInterval) {
 		v, err := t.view(c.Context())
 		if err == nil {
-			a, all = heard(v, cmd.Server, number, cmd.Said)
+			a, all = collectAnswers(v, cmd.Server, number, cmd.IssuedAt)
 		}
 		if all || time.Now().After(until) || c.Context().Err() != nil {
 			break
@@ -168,26 +168,26 @@
 			if x.AfterMS >= 0 {
 				after = fmt.Sprintf("%.1f ms", x.AfterMS)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", x.Instance, x.Agent, x.Verdict, after, x.Why)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", x.Instance, x.Agent, x.Verdict, after, x.Reason)
 		}
-		for _, name := range a.Silent {
+		for _, name := range a.SilentAgents {
 			fmt.Fprintf(w, "(all of it)\t%s\tno answer\t-\tthe agent does not answer\n", name)
 		}
 	})
 	switch {
 	case count["refused"]+count["stale"] > 0:
-		return exit{refused, fmt.Sprintf("order %d: %d obeyed, %d refused it", number, count["obeyed"], count["refused"]+count["stale"])}
+		return exitError{exitRefused, fmt.Sprintf("order %d: %d obeyed, %d refused it", number, count["obeyed"], count["refused"]+count["stale"])}
 	case count["unknown"] > 0:
-		return exit{refused, fmt.Sprintf("order %d: %d instances know no server %q; the order is kept, and counts should it come", number, count["unknown"], cmd.Server)}
+		return exitError{exitRefused, fmt.Sprintf("order %d: %d instances know no server %q; the order is kept, and counts should it come", number, count["unknown"], cmd.Server)}
 	case !all:
-		return exit{noAnswer, fmt.Sprintf("order %d: %d obeyed, %d have not answered; it is kept, and given to them when they do", number, count["obeyed"], count["no answer"])}
+		return exitError{exitNoAnswer, fmt.Sprintf("order %d: %d obeyed, %d have not answered; it is kept, and given to them when they do", number, count["obeyed"], count["no answer"])}
 	}
 	return nil
 }
 
 // print writes a result as JSON or as a table.
-func (t *tool) print(out io.Writer, what any, table func(io.Writer)) {
-	if t.json {
+func (t *cli) print(out io.Writer, what any, table func(io.Writer)) {
+	if t.asJSON {
 		text, _ := json.MarshalIndent(what, "", " ") // plain values
 		fmt.Fprintln(out, string(text))
 		return
@@ -197,28 +197,28 @@
 	_ = w.Flush()
 }
 
-func (t *tool) drainCommand(verb string) *cobra.Command {
+func (t *cli) drainCommand(verb string) *cobra.Command {
 	var id string
 	var span time.Duration
 	what := map[string]string{"drain": "Have all instances send nothing new to a server and move who stands there",
 		"undrain": "Have all instances take a server as the list has it again"}
 	c := &cobra.Command{
-		Use: verb + " SERVER", Short: what[verb], Args: cobra.ExactArgs(1), Long: what[verb] + ".\n\n" + usageWords,
+		Use: verb + " SERVER", Short: what[verb], Args: cobra.ExactArgs(1), Long: what[verb] + ".\n\n" + exitCodesHelp,
 		Example: "  hatchctl " + verb + " feed-7\n  hatchctl " + verb + " feed-7 --json --within 3s",
 		RunE: func(c *cobra.Command, args []string) error {
-			cmd := wanted.Command{ID: id, Verb: wanted.Verb(verb), Server: args[0]}
+			cmd := clusterstate.Command{ID: id, Verb: clusterstate.Verb(verb), Server: args[0]}
 			if cmd.ID == "" {
-				cmd.ID = newID()
+				cmd.ID = newCommandID()
 			}
-			cmd.Said = logic.Micros(time.Now().UnixMicro())
+			cmd.IssuedAt = logic.Micros(time.Now().UnixMicro())
 			if span > 0 {
-				cmd.Until = cmd.Said + logic.Micros(span.Microseconds())
+				cmd.ExpiresAt = cmd.IssuedAt + logic.Micros(span.Microseconds())
 			}
-			number, err := t.say(c.Context(), cmd)
+			number, err := t.submit(c.Context(), cmd)
 			if err != nil {
 				return err
 			}
-			return t.follow(c, cmd, number)
+			return t.awaitAnswers(c, cmd, number)
 		},
 	}
 	c.Flags().StringVar(&id, "id", "", "the command's id; one said twice counts once")
@@ -228,24 +228,24 @@
 	return c
 }
 
-func (t *tool) statusCommand() *cobra.Command {
+func (t *cli) statusCommand() *cobra.Command {
 	var watch time.Duration
 	c := &cobra.Command{
 		Use: "status [INSTANCE]", Short: "What each instance sees; of one, with its servers", Args: cobra.MaximumNArgs(1),
 		Example: "  hatchctl status\n  hatchctl status n3\n  hatchctl status --watch 2s",
 		RunE: func(c *cobra.Command, args []string) error {
-			return watching(c, watch, func() error {
+			return runEvery(c, watch, func() error {
 				v, err := t.view(c.Context())
 				if err != nil {
-					return exit{cannotRun, err.Error()}
+					return exitError{exitCannotRun, err.Error()}
 				}
 				if len(args) == 1 {
 					v.Instances = slices.DeleteFunc(v.Instances, func(i agent.InstanceView) bool { return i.Name != args[0] })
 					if len(v.Instances) == 0 {
-						return exit{cannotRun, fmt.Sprintf("there is no instance %q", args[0])}
+						return exitError{exitCannotRun, fmt.Sprintf("there is no instance %q", args[0])}
 					}
 				}
-				t.print(c.OutOrStdout(), v, func(w io.Writer) { tellStatus(w, v, len(args) == 1) })
+				t.print(c.OutOrStdout(), v, func(w io.Writer) { printStatus(w, v, len(args) == 1) })
 				return nil
 			})
 		},
@@ -254,8 +254,8 @@
 	return c
 }
 
-// watching tells something once, or again whenever so much time has passed.
-func watching(c *cobra.Command, every time.Duration, tell func() error) error {
+// runEvery tells something once, or again whenever so much time has passed.
+func runEvery(c *cobra.Command, every time.Duration, tell func() error) error {
 	for {
 		if err := tell(); err != nil || every <= 0 {
 			return err
@@ -268,17 +268,17 @@
 	}
 }
 
-func tellStatus(w io.Writer, v agent.View, servers bool) {
+func printStatus(w io.Writer, v agent.View, servers bool) {
 	fmt.Fprintln(w, "INSTANCE\tAGENT\tSTATE\tMEMBER\tSTANDING\tLIST\tORDERS\tCONFIG\tUP")
 	for _, i := range v.Instances {
 		standing, list, held, config, up := "-", "-", "-", "-", "-"
 		if s := i.Status; s != nil {
-			standing, list, held, config = fmt.Sprint(s.Standing), fmt.Sprintf("%d, %s old", s.ListVersion, age(s.ListAgeMicros)), fmt.Sprint(len(s.Orders)), s.ConfigHash
-			up = age(s.NowMicros - s.StartedMicros)
+			standing, list, held, config = fmt.Sprint(s.Standing), fmt.Sprintf("%d, %s old", s.ListVersion, formatAge(s.ListAgeMicros)), fmt.Sprint(len(s.Orders)), s.ConfigHash
+			up = formatAge(s.NowMicros - s.StartedMicros)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", i.Name, i.Agent, i.State, i.Member, standing, list, held, config, up)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", i.Name, i.Agent, i.State, i.MemberState, standing, list, held, config, up)
 	}
-	for _, name := range v.Silent {
+	for _, name := range v.SilentAgents {
 		fmt.Fprintf(w, "(all of it)\t%s\tno answer\t-\t-\t-\t-\t-\t-\n", name)
 	}
 	if !servers || v.Instances[0].Status == nil {
@@ -290,27 +290,27 @@
 	}
 }
 
-func age(micros int64) string {
+func formatAge(micros int64) string {
 	if micros < 0 {
 		return "never"
 	}
 	return (time.Duration(micros) * time.Microsecond).Round(100 * time.Millisecond).String()
 }
 
-func (t *tool) membersCommand() *cobra.Command {
+func (t *cli) membersCommand() *cobra.Command {
 	members := &cobra.Command{
 		Use: "members", Short: "Who is there: agents and instances, joining, alive, suspected, lost, back or left", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			v, err := t.view(c.Context())
 			if err != nil {
-				return exit{cannotRun, err.Error()}
+				return exitError{exitCannotRun, err.Error()}
 			}
 			t.print(c.OutOrStdout(), v.Members, func(w io.Writer) {
 				fmt.Fprintf(w, "agent %s answers; %q leads, term %d\n", v.Agent, v.Leader, v.Term)
 				fmt.Fprintf(w, "voters: %s\n", strings.Join(v.Voters, ", "))
 				fmt.Fprintln(w, "MEMBER\tKIND\tSTATE\tSINCE")
 				for _, m := range v.Members {
-					fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", m.Name, m.Kind, m.State, age(int64(v.Now-m.Since)))
+					fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", m.Name, m.Kind, m.State, formatAge(int64(v.Now-m.StateSince)))
 				}
 			})
 			return nil
@@ -324,9 +324,9 @@
 			Use: what + " AGENT", Short: short, Args: cobra.ExactArgs(1),
 			Long: short + ". One at a time: each is agreed on by most voters before the next. Keep three or five.",
 			RunE: func(c *cobra.Command, args []string) error {
-				err := t.each(c.Context(), func(ctx context.Context, a *agent.Client) error { return a.Voters(ctx, what, args[0]) })
+				err := t.tryAgents(c.Context(), func(ctx context.Context, a *agent.Client) error { return a.ChangeVoters(ctx, what, args[0]) })
 				if err != nil {
-					return exit{notAgreed, err.Error()}
+					return exitError{exitNotAgreed, err.Error()}
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", args[0], what)
 				return nil
@@ -336,18 +336,18 @@
 	return members
 }
 
-func (t *tool) ordersCommand() *cobra.Command {
+func (t *cli) ordersCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "orders", Short: "The commands that were agreed on, oldest first", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			v, err := t.view(c.Context())
 			if err != nil {
-				return exit{cannotRun, err.Error()}
+				return exitError{exitCannotRun, err.Error()}
 			}
-			t.print(c.OutOrStdout(), v.Past, func(w io.Writer) {
+			t.print(c.OutOrStdout(), v.RecentCommands, func(w io.Writer) {
 				fmt.Fprintln(w, "NUMBER\tSAID\tVERB\tOF\tID")
-				for _, e := range v.Past {
-					fmt.Fprintf(w, "%d\t%s\t%s\t%s%s\t%s\n", e.Number, time.UnixMicro(int64(e.Said)).Format(time.DateTime), e.Verb, e.Server, strings.Join(e.Instances, ","), e.ID)
+				for _, e := range v.RecentCommands {
+					fmt.Fprintf(w, "%d\t%s\t%s\t%s%s\t%s\n", e.Number, time.UnixMicro(int64(e.IssuedAt)).Format(time.DateTime), e.Verb, e.Server, strings.Join(e.Instances, ","), e.ID)
 				}
 			})
 			return nil
@@ -355,11 +355,11 @@
 	}
 }
 
-// instances are those that are named, or all.
-func (t *tool) instances(ctx context.Context, names []string) ([]string, error) {
+// resolveInstances are those that are named, or all.
+func (t *cli) resolveInstances(ctx context.Context, names []string) ([]string, error) {
 	v, err := t.view(ctx)
 	if err != nil {
-		return nil, exit{cannotRun, err.Error()}
+		return nil, exitError{exitCannotRun, err.Error()}
 	}
 	var all []string
 	for _, i := range v.Instances {
@@ -370,60 +370,60 @@
 	}
 	for _, name := range names {
 		if !slices.Contains(all, name) {
-			return nil, exit{cannotRun, fmt.Sprintf("there is no instance %q", name)}
+			return nil, exitError{exitCannotRun, fmt.Sprintf("there is no instance %q", name)}
 		}
 	}
 	return names, nil
 }
 
-// await waits until instances are as wanted.
-func (t *tool) await(c *cobra.Command, names []string, good func(agent.InstanceView) bool) error {
+// awaitInstances waits until instances are as wanted.
+func (t *cli) awaitInstances(c *cobra.Command, names []string, good func(agent.InstanceView) bool) error {
 	left := names
-	for until := time.Now().Add(t.within); ; time.Sleep(asking) {
+	for until := time.Now().Add(t.timeout); ; time.Sleep(pollInterval) {
 		if v, err := t.view(c.Context()); err == nil {
 			left = nil
 			for _, i := range v.Instances {
 				if !slices.Contains(names, i.Name) || good(i) {
 					continue
 				}
-				if i.State == keeper.Looping {
-					return exit{refused, fmt.Sprintf("%s is in a crash loop: %s", i.Name, i.Why)}
+				if i.State == supervisor.CrashLooping {
+					return exitError{exitRefused, fmt.Sprintf("%s is in a crash loop: %s", i.Name, i.Reason)}
 				}
 				left = append(left, i.Name)
 			}
-			if len(left) == 0 && len(v.Silent) == 0 {
+			if len(left) == 0 && len(v.SilentAgents) == 0 {
 				return nil
 			}
 		}
 		if time.Now().After(until) || c.Context().Err() != nil {
-			return exit{noAnswer, fmt.Sprintf("not there in %s: %s", t.within, strings.Join(left, ", "))}
+			return exitError{exitNoAnswer, fmt.Sprintf("not there in %s: %s", t.timeout, strings.Join(left, ", "))}
 		}
 	}
 }
 
-func (t *tool) runCommand(verb string) *cobra.Command {
+func (t *cli) runCommand(verb string) *cobra.Command {
 	return &cobra.Command{
 		Use: verb + " INSTANCE...", Short: map[string]string{"start": "Have instances run", "stop": "Have instances leave, and not come back"}[verb],
-		Args: cobra.MinimumNArgs(1), Example: "  hatchctl " + verb + " n3 n4", Long: usageWords,
+		Args: cobra.MinimumNArgs(1), Example: "  hatchctl " + verb + " n3 n4", Long: exitCodesHelp,
 		RunE: func(c *cobra.Command, args []string) error {
-			names, err := t.instances(c.Context(), args)
+			names, err := t.resolveInstances(c.Context(), args)
 			if err != nil {
 				return err
 			}
-			if _, err := t.say(c.Context(), wanted.Command{Verb: wanted.Verb(verb), Instances: names}); err != nil {
+			if _, err := t.submit(c.Context(), clusterstate.Command{Verb: clusterstate.Verb(verb), Instances: names}); err != nil {
 				return err
 			}
-			return t.await(c, names, func(i agent.InstanceView) bool {
+			return t.awaitInstances(c, names, func(i agent.InstanceView) bool {
 				if verb == "start" {
-					return i.State == keeper.Ready
+					return i.State == supervisor.Ready
 				}
-				return !i.Wanted && i.State == keeper.Stopped
+				return !i.ShouldRun && i.State == supervisor.Stopped
 			})
 		},
 	}
 }
 
-func (t *tool) restartCommand() *cobra.Command {
+func (t *cli) restartCommand() *cobra.Command {
 	var rolling bool
 	var share float64
 	c := &cobra.Command{
@@ -431,32 +431,32 @@
 		Long: `Have instances leave in good order and start anew. With --rolling never more than the stated share is away at once (one
 at the least), each is waited for until it is ready, and the first that is not ends the whole.
 
-` + usageWords,
+` + exitCodesHelp,
 		Example: "  hatchctl restart n3\n  hatchctl restart --rolling --share 0.1 --within 30s",
 		RunE: func(c *cobra.Command, args []string) error {
-			names, err := t.instances(c.Context(), args)
+			names, err := t.resolveInstances(c.Context(), args)
 			if err != nil {
 				return err
 			}
 			if rolling && !(share > 0 && share <= 1) {
-				return exit{cannotRun, fmt.Sprintf("--share %g is not between 0 and 1", share)}
+				return exitError{exitCannotRun, fmt.Sprintf("--share %g is not between 0 and 1", share)}
 			}
 			if v, err := t.view(c.Context()); err == nil && rolling && slices.ContainsFunc(v.Duties, func(d agent.DutyView) bool { return d.Duty == agent.Conductor }) {
-				return t.conducted(c, names, share)
+				return t.rollByConductor(c, names, share)
 			}
 			batch := len(names)
 			if rolling {
 				batch = max(1, int(share*float64(len(names))+1e-9))
 			}
 			for some := range slices.Chunk(names, batch) {
-				number, err := t.say(c.Context(), wanted.Command{Verb: wanted.Restart, Instances: some})
+				number, err := t.submit(c.Context(), clusterstate.Command{Verb: clusterstate.Restart, Instances: some})
 				if err != nil {
 					return err
 				}
-				if err := t.await(c, some, func(i agent.InstanceView) bool { return i.Restarted >= number && i.State == keeper.Ready }); err != nil {
+				if err := t.awaitInstances(c, some, func(i agent.InstanceView) bool { return i.CompletedRestart >= number && i.State == supervisor.Ready }); err != nil {
 					return err
 				}
-				if !t.json {
+				if !t.asJSON {
 					fmt.Fprintf(c.ErrOrStderr(), "ready again: %s\n", strings.Join(some, ", "))
 				}
 			}
@@ -469,17 +469,17 @@
 	return c
 }
 
-func (t *tool) reloadCommand() *cobra.Command {
+func (t *cli) reloadCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "reload", Short: "Have all instances read their configuration again", Args: cobra.NoArgs, Long: usageWords,
+		Use: "reload", Short: "Have all instances read their configuration again", Args: cobra.NoArgs, Long: exitCodesHelp,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var results map[string]string
-			err := t.each(c.Context(), func(ctx context.Context, a *agent.Client) (err error) {
+			err := t.tryAgents(c.Context(), func(ctx context.Context, a *agent.Client) (err error) {
 				results, err = a.Reload(ctx)
 				return err
 			})
 			if err != nil {
-				return exit{cannotRun, err.Error()}
+				return exitError{exitCannotRun, err.Error()}
 			}
 			bad := 0
 			var names []string
@@ -497,33 +497,33 @@
 				}
 			})
 			if bad > 0 {
-				return exit{refused, fmt.Sprintf("%d did not", bad)}
+				return exitError{exitRefused, fmt.Sprintf("%d did not", bad)}
 			}
 			return nil
 		},
 	}
 }
 
-func (t *tool) waitCommand() *cobra.Command {
+func (t *cli) waitCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "wait [INSTANCE...]", Short: "Wait until instances are ready, and have heard all orders that stand", Long: usageWords,
+		Use: "wait [INSTANCE...]", Short: "Wait until instances are ready, and have heard all orders that stand", Long: exitCodesHelp,
 		Example: "  hatchctl wait --within 60s",
 		RunE: func(c *cobra.Command, args []string) error {
-			names, err := t.instances(c.Context(), args)
+			names, err := t.resolveInstances(c.Context(), args)
 			if err != nil {
 				return err
 			}
 			v, err := t.view(c.Context())
 			if err != nil {
-				return exit{cannotRun, err.Error()}
+				return exitError{exitCannotRun, err.Error()}
 			}
-			return t.await(c, names, func(i agent.InstanceView) bool {
+			return t.awaitInstances(c, names, func(i agent.InstanceView) bool {
 				for _, e := range v.Orders {
-					if i.Heard[e.Server].Number < e.Number {
+					if i.OrderResults[e.Server].Number < e.Number {
 						return false
 					}
 				}
-				return i.State == keeper.Ready
+				return i.State == supervisor.Ready
 			})
 		},
 	}
--- a/cmd/hatchlab/chaos.go
+++ b/cmd/hatchlab/chaos.go
@@ -34,7 +34,7 @@
 			if err != nil {
 				return err
 			}
-			return tryChaos(c.Context(), c.OutOrStdout(), f, binary, into, seed, runs, max(1, beside))
+			return runChaos(c.Context(), c.OutOrStdout(), f, binary, into, seed, runs, max(1, beside))
 		},
 	}
 	c.Flags().IntVar(&runs, "runs", 10, "how many schedules")
@@ -83,7 +83,7 @@
 	return c
 }
 
-func tryChaos(ctx context.Context, out io.Writer, f *chaos.File, binary, into string, seed int64, runs, beside int) error {
+func runChaos(ctx context.Context, out io.Writer, f *chaos.File, binary, into string, seed int64, runs, beside int) error {
 	play := func(seed int64, faults []chaos.Fault) (chaos.Record, []chaos.Breach, error) {
 		folder, err := os.MkdirTemp("", "hc")
 		if err != nil {
@@ -168,7 +168,7 @@
 		fmt.Fprintf(out, "  %-9s %d\n", k, tried[k])
 	}
 	if broken > 0 {
-		return errShort
+		return errChecksFailed
 	}
 	return nil
 }
--- a/cmd/hatchlab/compare.go
+++ b/cmd/hatchlab/compare.go
@@ -15,7 +15,7 @@
 )
 
 func compareCommand() *cobra.Command {
-	var s stage
+	var s runner
 	var proxies []string
 	c := &cobra.Command{
 		Use: "compare FILE --proxy A --proxy B", Short: "Play two builds on the same seeds, in turn, and tell the difference with its interval",
@@ -35,17 +35,17 @@
 			}
 			results := [2][]*experiment.Result{}
 			broken := 0.0
-			for round, seed := range s.seedsOf(f) {
+			for round, seed := range s.selectSeeds(f) {
 				for turn := range 2 {
 					which := (round + turn) % 2
-					s.proxy = proxies[which]
-					binary, agent, done, err := s.build(c.Context(), f.Control.Agents > 0)
+					s.proxyPath = proxies[which]
+					binary, agent, done, err := s.buildPrograms(c.Context(), f.Control.Agents > 0)
 					if err != nil {
 						return err
 					}
 					defer done()
-					s.agent = agent
-					r, err := s.play(c.Context(), f, binary, experiment.ByProxies, seed, c.ErrOrStderr())
+					s.agentPath = agent
+					r, err := s.runOnce(c.Context(), f, binary, experiment.PlacementProxies, seed, c.ErrOrStderr())
 					if err != nil {
 						return err
 					}
@@ -57,13 +57,13 @@
 					}
 				}
 			}
-			found := experiment.Compare(results[0], results[1], experiment.Compared)
-			if err := s.write(c, f, append(results[0], results[1]...), nil); err != nil {
+			found := experiment.Compare(results[0], results[1], experiment.ComparedFigures)
+			if err := s.writeOutputs(c, f, append(results[0], results[1]...), nil); err != nil {
 				return err
 			}
-			tellDifferences(c, proxies, found)
+			printDifferences(c, proxies, found)
 			if broken > 0 {
-				return errShort
+				return errChecksFailed
 			}
 			return nil
 		},
@@ -73,17 +73,17 @@
 	f.UintSliceVar(&s.seeds, "seed", nil, "seeds to play, instead of the file's")
 	f.BoolVar(&s.quick, "quick", false, "the first seed only, at most 40 s of it")
 	f.StringVar(&s.jsonPath, "json", "", "a file for all runs, as JSON; - for standard output")
-	f.StringVar(&s.html, "html", "", "a file for the report")
+	f.StringVar(&s.htmlPath, "html", "", "a file for the report")
 	f.BoolVar(&s.quiet, "quiet", false, "no progress")
 	return c
 }
 
-func tellDifferences(c *cobra.Command, names []string, found []experiment.Difference) {
+func printDifferences(c *cobra.Command, names []string, found []experiment.Difference) {
 	out := c.OutOrStdout()
 	fmt.Fprintf(out, "%-18s %12s %12s %12s   95%% interval\n", "figure", "first", "second", "difference")
 	for _, d := range found {
 		mark := " "
-		if d.Sure() {
+		if d.IsSignificant() {
 			mark = "*"
 		}
 		bounds := "one pair tells none"
@@ -96,7 +96,7 @@
 }
 
 func costCommand() *cobra.Command {
-	var s stage
+	var s runner
 	var standing []uint
 	var pairs int
 	var asJSON bool
@@ -110,12 +110,12 @@
 		Example: "  hatchlab cost --standing 1,400,5000 --pairs 3\n  hatchlab cost --proxy bin/hatchproxy --json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			binary, _, done, err := s.build(c.Context(), false)
+			binary, _, done, err := s.buildPrograms(c.Context(), false)
 			if err != nil {
 				return err
 			}
 			defer done()
-			costs, err := s.costs(c, binary, standing, pairs)
+			costs, err := s.measureCosts(c, binary, standing, pairs)
 			if err != nil {
 				return err
 			}
@@ -128,12 +128,12 @@
 				return nil
 			}
 			for _, cost := range costs {
-				fmt.Fprintf(c.OutOrStdout(), "%6d standing: %s\n", cost.Standing, cost.Words())
+				fmt.Fprintf(c.OutOrStdout(), "%6d standing: %s\n", cost.Connections, cost.Summary())
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&s.proxy, "proxy", "", "the hatchproxy program; built from ./cmd/hatchproxy if not given")
+	c.Flags().StringVar(&s.proxyPath, "proxy", "", "the hatchproxy program; built from ./cmd/hatchproxy if not given")
 	c.Flags().UintSliceVar(&standing, "standing", []uint{1, 400, 5000}, "how many connections stand")
 	c.Flags().IntVar(&pairs, "pairs", 3, "how often relay and proxy are measured")
 	c.Flags().BoolVar(&asJSON, "json", false, "all figures, as JSON")
@@ -141,8 +141,8 @@
 	return c
 }
 
-// costs measures the proxy's own path beside the bare relay's, which is this program in a process of its own.
-func (s *stage) costs(c *cobra.Command, binary string, standing []uint, pairs int) ([]*experiment.Cost, error) {
+// measureCosts measures the proxy's own path beside the bare relay's, which is this program in a process of its own.
+func (s *runner) measureCosts(c *cobra.Command, binary string, standing []uint, pairs int) ([]*experiment.Cost, error) {
 	folder, err := os.MkdirTemp("", "hatchlab-cost-")
 	if err != nil {
 		return nil, err
@@ -155,7 +155,7 @@
 	relay := func(listen, servers string) *exec.Cmd { return exec.Command(own, "relay", listen, servers) }
 	var costs []*experiment.Cost
 	for _, n := range standing {
-		cost, err := experiment.TakeCost(c.Context(), binary, relay, int(n), pairs, folder, s.tell(c.ErrOrStderr()))
+		cost, err := experiment.MeasureCost(c.Context(), binary, relay, int(n), pairs, folder, s.progressFunc(c.ErrOrStderr()))
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/hatchlab/fleet.go
+++ b/cmd/hatchlab/fleet.go
@@ -17,7 +17,7 @@
 		Example: "  hatchlab fleet --discovery 127.0.0.1:8500 &\n  bin/hatchproxy serve --config examples/config.json",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			f, err := experiment.Parse("demo.toml", demoText)
+			f, err := experiment.Parse("demo.toml", demoExperiment)
 			if len(args) == 1 {
 				f, err = experiment.Read(args[0])
 			}
--- a/cmd/hatchlab/main.go
+++ b/cmd/hatchlab/main.go
@@ -14,29 +14,29 @@
 
 // The exit codes, as every command's help tells.
 const (
-	held     = 0
-	short    = 1
-	notToRun = 2
+	exitPassed      = 0
+	exitFailed      = 1
+	exitCouldNotRun = 2
 )
 
-// errShort is a run that could be played, and in which not all held.
-var errShort = errors.New("not all held")
+// errChecksFailed is a run that could be played, and in which not all held.
+var errChecksFailed = errors.New("not all held")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	switch err := command().ExecuteContext(ctx); {
+	switch err := rootCommand().ExecuteContext(ctx); {
 	case err == nil:
-		os.Exit(held)
-	case errors.Is(err, errShort):
-		os.Exit(short)
+		os.Exit(exitPassed)
+	case errors.Is(err, errChecksFailed):
+		os.Exit(exitFailed)
 	default:
 		fmt.Fprintln(os.Stderr, "hatchlab:", err)
-		os.Exit(notToRun)
+		os.Exit(exitCouldNotRun)
 	}
 }
 
-func command() *cobra.Command {
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "hatchlab",
 		Short: "Plays experiments with real proxies before stand-ins, and judges them by the rules",
--- a/cmd/hatchlab/main_test.go
+++ b/cmd/hatchlab/main_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func lab(args ...string) (string, error) {
+func execute(args ...string) (string, error) {
 	var out bytes.Buffer
-	c := command()
+	c := rootCommand()
 	c.SetArgs(args)
 	c.SetOut(&out)
 	c.SetErr(&bytes.Buffer{})
@@ -20,26 +20,26 @@
 }
 
 func TestWhatCannotRunIsNotTakenForWhatFellShort(t *testing.T) {
-	_, err := lab("run", "nowhere.toml")
+	_, err := execute("run", "nowhere.toml")
 	require.Error(t, err)
-	require.NotErrorIs(t, err, errShort)
+	require.NotErrorIs(t, err, errChecksFailed)
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	require.NoError(t, os.WriteFile(bad, []byte("nam = 1"), 0o600))
-	_, err = lab("check", bad, bad)
+	_, err = execute("check", bad, bad)
 	require.ErrorContains(t, err, bad+":1: nam is unknown")
-	_, err = lab("run", bad)
-	require.NotErrorIs(t, err, errShort)
-	_, err = lab("demo", "--way", "odd")
+	_, err = execute("run", bad)
+	require.NotErrorIs(t, err, errChecksFailed)
+	_, err = execute("demo", "--way", "odd")
 	require.ErrorContains(t, err, `"odd" is none of`)
 }
 
 func TestABaselineLeavesAReportAndASummary(t *testing.T) {
 	folder := t.TempDir()
 	page, data := filepath.Join(folder, "a.html"), filepath.Join(folder, "a.json")
-	short := bytes.Replace(demoText, []byte(`length = "12s"`), []byte(`length = "2s"`), 1)
+	short := bytes.Replace(demoExperiment, []byte(`length = "12s"`), []byte(`length = "2s"`), 1)
 	file := filepath.Join(folder, "short.toml")
 	require.NoError(t, os.WriteFile(file, short, 0o600))
-	out, err := lab("run", file, "--way", "random", "--html", page, "--json", data, "--no-cost")
+	out, err := execute("run", file, "--way", "random", "--html", page, "--json", data, "--no-cost")
 	require.NoError(t, err)
 	require.Contains(t, out, "served 0.")
 	text, err := os.ReadFile(page)
--- a/cmd/hatchlab/run.go
+++ b/cmd/hatchlab/run.go
@@ -19,35 +19,35 @@
 	"hatchproxy/lab/report"
 )
 
-// stage is what the commands that play have in common.
-type stage struct {
-	proxy    string
-	agent    string
-	keep     string
-	seeds    []uint
-	quick    bool
-	jsonPath string
-	html     string
-	ways     []string
-	quiet    bool
-	noCost   bool
+// runner is what the commands that play have in common.
+type runner struct {
+	proxyPath  string
+	agentPath  string
+	keepFolder string
+	seeds      []uint
+	quick      bool
+	jsonPath   string
+	htmlPath   string
+	ways       []string
+	quiet      bool
+	skipCost   bool
 }
 
-func (s *stage) flags(c *cobra.Command) {
+func (s *runner) addFlags(c *cobra.Command) {
 	f := c.Flags()
-	f.StringVar(&s.proxy, "proxy", "", "the hatchproxy program; built from ./cmd/hatchproxy if not given")
-	f.StringVar(&s.agent, "agent", "", "the hatchagent program, where the experiment has agents; built if not given")
-	f.StringVar(&s.keep, "keep", "", "a folder in which the proxies' configurations and logs stay")
+	f.StringVar(&s.proxyPath, "proxy", "", "the hatchproxy program; built from ./cmd/hatchproxy if not given")
+	f.StringVar(&s.agentPath, "agent", "", "the hatchagent program, where the experiment has agents; built if not given")
+	f.StringVar(&s.keepFolder, "keep", "", "a folder in which the proxies' configurations and logs stay")
 	f.UintSliceVar(&s.seeds, "seed", nil, "seeds to play, instead of the file's")
 	f.BoolVar(&s.quick, "quick", false, "the first seed only, at most 40 s of it: ends within 60 s")
 	f.StringVar(&s.jsonPath, "json", "", "a file for all that was seen, as JSON; - for standard output")
-	f.StringVar(&s.html, "html", "", "a file for the report, one page with pictures")
-	f.StringSliceVar(&s.ways, "way", []string{string(experiment.ByProxies)}, "who places the connections: proxies, or a baseline without any (random, straight, best)")
+	f.StringVar(&s.htmlPath, "html", "", "a file for the report, one page with pictures")
+	f.StringSliceVar(&s.ways, "way", []string{string(experiment.PlacementProxies)}, "who places the connections: proxies, or a baseline without any (random, straight, best)")
 	f.BoolVar(&s.quiet, "quiet", false, "no progress")
-	f.BoolVar(&s.noCost, "no-cost", false, "a report without the proxy's own path beside a bare relay's (some 25 s)")
+	f.BoolVar(&s.skipCost, "no-cost", false, "a report without the proxy's own path beside a bare relay's (some 25 s)")
 }
 
-func (s *stage) tell(out io.Writer) func(string, ...any) {
+func (s *runner) progressFunc(out io.Writer) func(string, ...any) {
 	return func(format string, a ...any) {
 		if !s.quiet {
 			fmt.Fprintf(out, "  "+format+"\n", a...)
@@ -55,13 +55,13 @@
 	}
 }
 
-// build makes the proxy where none is named, and the agent where one is needed. done takes them away again.
-func (s *stage) build(ctx context.Context, agents bool) (binary, agent string, done func(), err error) {
-	binary, proxyDone, err := program(ctx, s.proxy, "hatchproxy", "--proxy")
+// buildPrograms makes the proxy where none is named, and the agent where one is needed. done takes them away again.
+func (s *runner) buildPrograms(ctx context.Context, agents bool) (binary, agent string, done func(), err error) {
+	binary, proxyDone, err := findOrBuildProgram(ctx, s.proxyPath, "hatchproxy", "--proxy")
 	if err != nil || !agents {
 		return binary, "", proxyDone, err
 	}
-	agent, agentDone, err := program(ctx, s.agent, "hatchagent", "--agent")
+	agent, agentDone, err := findOrBuildProgram(ctx, s.agentPath, "hatchagent", "--agent")
 	if err != nil {
 		proxyDone()
 		return "", "", nil, err
@@ -72,8 +72,8 @@
 	}, nil
 }
 
-// program finds a program or builds it.
-func program(ctx context.Context, named, name, flag string) (binary string, done func(), err error) {
+// findOrBuildProgram finds a program or builds it.
+func findOrBuildProgram(ctx context.Context, named, name, flag string) (binary string, done func(), err error) {
 	if named != "" {
 		binary, err := filepath.Abs(named)
 		if err == nil {
@@ -95,8 +95,8 @@
 	return binary, done, nil
 }
 
-// seedsOf are the seeds to play.
-func (s *stage) seedsOf(f *experiment.File) []uint64 {
+// selectSeeds are the seeds to play.
+func (s *runner) selectSeeds(f *experiment.File) []uint64 {
 	seeds := f.Seeds
 	if len(s.seeds) > 0 {
 		seeds = nil
@@ -111,8 +111,8 @@
 }
 
 // order is one run of a build.
-func (s *stage) play(ctx context.Context, f *experiment.File, binary string, way experiment.Way, seed uint64, out io.Writer) (*experiment.Result, error) {
-	folder := s.keep
+func (s *runner) runOnce(ctx context.Context, f *experiment.File, binary string, way experiment.Placement, seed uint64, out io.Writer) (*experiment.Result, error) {
+	folder := s.keepFolder
 	if folder == "" {
 		made, err := os.MkdirTemp("", "hatchlab-run-")
 		if err != nil {
@@ -127,11 +127,11 @@
 			return nil, err
 		}
 	}
-	return f.Run(ctx, experiment.Order{Seed: seed, Way: way, Binary: binary, Agent: s.agent, Folder: folder, Quick: s.quick, Tell: s.tell(out)})
+	return f.Run(ctx, experiment.RunOptions{Seed: seed, Placement: way, ProxyBinary: binary, AgentBinary: s.agentPath, Dir: folder, Quick: s.quick, Logf: s.progressFunc(out)})
 }
 
 func runCommand() *cobra.Command {
-	var s stage
+	var s runner
 	c := &cobra.Command{
 		Use:   "run FILE",
 		Short: "Play an experiment and hold it beside what it expects",
@@ -144,63 +144,63 @@
 			if err != nil {
 				return err
 			}
-			return s.run(c, f)
+			return s.runAll(c, f)
 		},
 	}
-	s.flags(c)
+	s.addFlags(c)
 	return c
 }
 
-func (s *stage) run(c *cobra.Command, f *experiment.File) error {
+func (s *runner) runAll(c *cobra.Command, f *experiment.File) error {
 	binary, done := "", func() {}
 	var err error
 	for _, way := range s.ways {
-		if !slices.Contains(experiment.Ways, experiment.Way(way)) {
-			return fmt.Errorf("--way: %q is none of %v", way, experiment.Ways)
+		if !slices.Contains(experiment.Placements, experiment.Placement(way)) {
+			return fmt.Errorf("--way: %q is none of %v", way, experiment.Placements)
 		}
 	}
-	if slices.Contains(s.ways, string(experiment.ByProxies)) {
+	if slices.Contains(s.ways, string(experiment.PlacementProxies)) {
 		var agent string
-		if binary, agent, done, err = s.build(c.Context(), f.Control.Agents > 0); err != nil {
+		if binary, agent, done, err = s.buildPrograms(c.Context(), f.Control.Agents > 0); err != nil {
 			return err
 		}
-		s.agent = agent
+		s.agentPath = agent
 	}
 	defer done()
 	progress := c.ErrOrStderr()
 	var results []*experiment.Result
 	good := true
-	for _, seed := range s.seedsOf(f) {
+	for _, seed := range s.selectSeeds(f) {
 		for _, way := range s.ways {
-			r, err := s.play(c.Context(), f, binary, experiment.Way(way), seed, progress)
+			r, err := s.runOnce(c.Context(), f, binary, experiment.Placement(way), seed, progress)
 			if err != nil {
 				return fmt.Errorf("seed %d: %w", seed, err)
 			}
 			results = append(results, r)
 			good = good && len(r.Shortfalls) == 0
 			if s.jsonPath != "-" {
-				report.Summary(c.OutOrStdout(), r, terminal(c.OutOrStdout()))
+				report.WriteSummary(c.OutOrStdout(), r, isColorTerminal(c.OutOrStdout()))
 			}
 		}
 	}
 	var costs []*experiment.Cost
-	if s.html != "" && !s.noCost && binary != "" {
+	if s.htmlPath != "" && !s.skipCost && binary != "" {
 		var err error
-		if costs, err = s.costs(c, binary, []uint{1, 400}, 1); err != nil {
+		if costs, err = s.measureCosts(c, binary, []uint{1, 400}, 1); err != nil {
 			return err
 		}
 	}
-	if err := s.write(c, f, results, costs); err != nil {
+	if err := s.writeOutputs(c, f, results, costs); err != nil {
 		return err
 	}
 	if !good {
-		return errShort
+		return errChecksFailed
 	}
 	return nil
 }
 
-// write leaves the files that were asked for.
-func (s *stage) write(c *cobra.Command, f *experiment.File, results []*experiment.Result, costs []*experiment.Cost) error {
+// writeOutputs leaves the files that were asked for.
+func (s *runner) writeOutputs(c *cobra.Command, f *experiment.File, results []*experiment.Result, costs []*experiment.Cost) error {
 	if s.jsonPath != "" {
 		text, err := json.MarshalIndent(results, "", " ")
 		if err != nil {
@@ -212,18 +212,18 @@
 			return err
 		}
 	}
-	if s.html == "" {
+	if s.htmlPath == "" {
 		return nil
 	}
-	out, err := os.Create(s.html)
+	out, err := os.Create(s.htmlPath)
 	if err != nil {
 		return err
 	}
-	return errors.Join(report.Page(out, "Experiment "+f.Name, f.About, results, costs), out.Close())
+	return errors.Join(report.WriteHTML(out, "Experiment "+f.Name, f.About, results, costs), out.Close())
 }
 
-// terminal tells whether colour makes sense.
-func terminal(w io.Writer) bool {
+// isColorTerminal tells whether colour makes sense.
+func isColorTerminal(w io.Writer) bool {
 	f, is := w.(*os.File)
 	if !is || os.Getenv("NO_COLOR") != "" {
 		return false
@@ -280,21 +280,21 @@
 }
 
 //go:embed demo.toml
-var demoText []byte
+var demoExperiment []byte
 
 func demoCommand() *cobra.Command {
-	var s stage
+	var s runner
 	c := &cobra.Command{
 		Use: "demo", Short: "Fleet, proxies and load in some 15 s, with a verdict", Args: cobra.NoArgs,
 		Example: "  go run ./cmd/hatchlab demo\n  hatchlab demo --html demo.html",
 		RunE: func(c *cobra.Command, _ []string) error {
-			f, err := experiment.Parse("demo.toml", demoText)
+			f, err := experiment.Parse("demo.toml", demoExperiment)
 			if err != nil {
 				return err
 			}
-			return s.run(c, f)
+			return s.runAll(c, f)
 		},
 	}
-	s.flags(c)
+	s.addFlags(c)
 	return c
 }
--- a/cmd/hatchlab/worth.go
+++ b/cmd/hatchlab/worth.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/spf13/cobra"
 
-	"hatchproxy/lab/worth"
+	"hatchproxy/lab/clienttime"
 )
 
 func worthCommand() *cobra.Command {
@@ -11,7 +11,7 @@
 		Use: "worth FOLDER", Short: "Where clients' seconds went, from the logs of all proxies at the level debug",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			account, err := worth.Read(args[0])
+			account, err := clienttime.ReadLogs(args[0])
 			if err != nil {
 				return err
 			}
--- a/lab/chaos/chaos_test.go
+++ b/lab/chaos/chaos_test.go
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/require"
 
 	"hatchproxy/agent"
-	"hatchproxy/agent/wanted"
+	"hatchproxy/agent/clusterstate"
 	"hatchproxy/lab/chaos"
 )
 
@@ -31,7 +31,7 @@
 		os.Exit(m.Run())
 	}
 	signal.Ignore(syscall.SIGXFSZ) // as the program does
-	plan, err := agent.ReadPlan(os.Args[len(os.Args)-1])
+	plan, err := agent.ReadConfig(os.Args[len(os.Args)-1])
 	switch {
 	case err != nil:
 	case role == "liar":
@@ -51,11 +51,11 @@
 	os.Exit(2)
 }
 
-func run(p *agent.Plan) error {
-	clock := agent.Sound()
+func run(p *agent.Config) error {
+	clock := agent.SystemClock()
 	if len(os.Args) > 2 {
 		var err error
-		if clock, err = agent.FaultyClock(os.Args[2]); err != nil {
+		if clock, err = agent.ParseTestClock(os.Args[2]); err != nil {
 			return err
 		}
 	}
@@ -63,33 +63,33 @@
 }
 
 // trust has an agent that has a log ask nobody what the others hold.
-func trust(p *agent.Plan) {
-	if _, err := os.Stat(p.Data); err == nil {
-		for i := range p.Peer {
-			p.Peer[i].Hears = true // those that vote at first are asked
+func trust(p *agent.Config) {
+	if _, err := os.Stat(p.DataDir); err == nil {
+		for i := range p.Peers {
+			p.Peers[i].NonVoter = true // those that vote at first are asked
 		}
 	}
 }
 
 // forget begins the log as agents once did whose folder was empty: with its vote, whatever it had before.
-func forget(p *agent.Plan) error {
-	if _, err := os.Stat(p.Data); err == nil {
+func forget(p *agent.Config) error {
+	if _, err := os.Stat(p.DataDir); err == nil {
 		return nil
 	}
-	if err := os.MkdirAll(p.Data, 0o700); err != nil {
+	if err := os.MkdirAll(p.DataDir, 0o700); err != nil {
 		return err
 	}
-	store, err := boltdb.NewBoltStore(filepath.Join(p.Data, "log.db"))
+	store, err := boltdb.NewBoltStore(filepath.Join(p.DataDir, "log.db"))
 	if err != nil {
 		return err
 	}
 	defer store.Close()
-	snapshots, err := raft.NewFileSnapshotStore(p.Data, 2, os.Stderr)
+	snapshots, err := raft.NewFileSnapshotStore(p.DataDir, 2, os.Stderr)
 	if err != nil {
 		return err
 	}
-	all := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Reached)}}}
-	for _, peer := range p.Peer {
+	all := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.AdvertisedLogAddress)}}}
+	for _, peer := range p.Peers {
 		all.Servers = append(all.Servers, raft.Server{ID: raft.ServerID(peer.Name), Address: raft.ServerAddress(peer.Log)})
 	}
 	c := raft.DefaultConfig()
@@ -99,18 +99,18 @@
 }
 
 // lie leads for itself and agrees with nobody.
-func lie(p *agent.Plan) error {
+func lie(p *agent.Config) error {
 	var mu sync.Mutex
-	v := agent.View{Agent: p.Name, Leads: true, Term: 2}
+	v := agent.View{Agent: p.Name, IsLeader: true, Term: 2}
 	return http.ListenAndServe(p.Listen, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		if r.Method == http.MethodPost {
-			var c wanted.Command
+			var c clusterstate.Command
 			_ = json.NewDecoder(r.Body).Decode(&c)
-			v.Applied++
-			v.Past = append(v.Past, wanted.Entry{Number: v.Applied, Command: c})
-			_ = json.NewEncoder(w).Encode(map[string]uint64{"number": v.Applied})
+			v.AppliedIndex++
+			v.RecentCommands = append(v.RecentCommands, clusterstate.Entry{Number: v.AppliedIndex, Command: c})
+			_ = json.NewEncoder(w).Encode(map[string]uint64{"number": v.AppliedIndex})
 			return
 		}
 		_ = json.NewEncoder(w).Encode(v)
@@ -212,12 +212,12 @@
 	}
 	say := func(a int, id string) func() bool {
 		return ask(a, func(ctx context.Context, c *agent.Client) error {
-			_, err := c.Say(ctx, wanted.Command{ID: id, Verb: wanted.Drain, Server: "s1"})
+			_, err := c.Submit(ctx, clusterstate.Command{ID: id, Verb: clusterstate.Drain, Server: "s1"})
 			return err
 		})
 	}
 	change := func(a int, what, name string) func() bool {
-		return ask(a, func(ctx context.Context, c *agent.Client) error { return c.Voters(ctx, what, name) })
+		return ask(a, func(ctx context.Context, c *agent.Client) error { return c.ChangeVoters(ctx, what, name) })
 	}
 	voters := func(a int, want ...string) func() bool {
 		return ask(a, func(ctx context.Context, c *agent.Client) error {
@@ -240,10 +240,10 @@
 	require.NoError(t, m.Start(1))
 	require.Eventually(t, change(2, "demote", "a3"), soon, often)
 	require.Eventually(t, voters(3, "a1", "a2"), soon, often)
-	require.Error(t, m.Ask(t.Context(), 2, func(ctx context.Context, c *agent.Client) error { return c.Voters(ctx, "promote", "a9") }))
+	require.Error(t, m.Ask(t.Context(), 2, func(ctx context.Context, c *agent.Client) error { return c.ChangeVoters(ctx, "promote", "a9") }))
 	require.Eventually(t, func() bool {
 		var v agent.View
-		return ask(3, func(ctx context.Context, c *agent.Client) (err error) { v, err = c.View(ctx); return err })() && len(v.Past) == 2
+		return ask(3, func(ctx context.Context, c *agent.Client) (err error) { v, err = c.View(ctx); return err })() && len(v.RecentCommands) == 2
 	}, soon, often, "it hears what was agreed on")
 }
 
@@ -338,7 +338,7 @@
 	require.NoError(t, err)
 	require.Empty(t, chaos.Judge(r, bound))
 	for _, wrong := range []string{"rate=99", "rate=", "jump=1h", "off=5", "moon=full"} {
-		_, err := agent.FaultyClock(wrong)
+		_, err := agent.ParseTestClock(wrong)
 		require.ErrorContains(t, err, wrong)
 	}
 }
@@ -354,7 +354,7 @@
 	for a := range 3 {
 		require.NoError(t, m.Ask(t.Context(), a, func(ctx context.Context, c *agent.Client) error {
 			v, err := c.View(ctx)
-			if v.Leads {
+			if v.IsLeader {
 				leader = a
 			}
 			return err
@@ -367,7 +367,7 @@
 	n := 0
 	require.Eventually(t, func() bool {
 		n++
-		_, err := rec.Say(t.Context(), (leader+1)%3, wanted.Command{ID: fmt.Sprint("c", n), Verb: wanted.Drain, Server: "s"}, 10*time.Second)
+		_, err := rec.Say(t.Context(), (leader+1)%3, clusterstate.Command{ID: fmt.Sprint("c", n), Verb: clusterstate.Drain, Server: "s"}, 10*time.Second)
 		return err == nil && time.Since(began) > time.Second
 	}, 20*time.Second, 10*time.Millisecond)
 	r := rec.End(t.Context())
@@ -415,7 +415,7 @@
 		holds := func(a int) (leads, holds bool) {
 			_ = m.Ask(t.Context(), a, func(ctx context.Context, c *agent.Client) error {
 				v, err := c.View(ctx)
-				leads, holds = v.Leads, v.Holds[agent.Conductor] > 0
+				leads, holds = v.IsLeader, v.HeldDuties[agent.Conductor] > 0
 				return err
 			})
 			return leads, holds
@@ -429,7 +429,7 @@
 		n := 0
 		require.Eventually(t, func() bool {
 			n++
-			_, _ = rec.Say(t.Context(), 1, wanted.Command{ID: fmt.Sprint("h", n), Verb: wanted.HandOn, Duty: agent.Conductor, Holder: "a0"}, time.Second)
+			_, _ = rec.Say(t.Context(), 1, clusterstate.Command{ID: fmt.Sprint("h", n), Verb: clusterstate.Transfer, Duty: agent.Conductor, Holder: "a0"}, time.Second)
 			_, now := holds(0)
 			return now
 		}, 30*time.Second, 100*ms)
@@ -457,7 +457,7 @@
 			time.Sleep(3 * time.Second)
 			for n := range 25 {
 				if f.Kind == "" {
-					_, err := rec.Say(t.Context(), n%5, wanted.Command{ID: fmt.Sprint("h", n), Verb: wanted.HandOn, Duty: agent.Conductor}, time.Second)
+					_, err := rec.Say(t.Context(), n%5, clusterstate.Command{ID: fmt.Sprint("h", n), Verb: clusterstate.Transfer, Duty: agent.Conductor}, time.Second)
 					require.NoError(t, err)
 				} else {
 					f.For = 5 * time.Second
--- a/lab/chaos/machines.go
+++ b/lab/chaos/machines.go
@@ -30,16 +30,16 @@
 
 // Layout is what stands where. Machine m stands in site m%Sites, and so do the servers of zone z: z is less than Sites.
 type Layout struct {
-	Agents    int                          // one a machine
-	Hear      int                          // so many of them, the last ones, have no vote
-	Sites     int                          //
-	Seed      int64                        // of what the links draw
-	Instances func(a int) []agent.Instance // those that a machine's agent keeps; nil for none
-	Between   time.Duration                // a way between two sites
-	Beat      time.Duration                // how long a leader may be silent; 0 for the agents' own
-	Duties    []string                     // that all agents stand for
-	Clocks    bool                         // the agents' clocks are wrong, each in its way, by the seed
-	Clock     func(a int) string           // what is wrong with each of them instead
+	Agents    int                                // one a machine
+	Hear      int                                // so many of them, the last ones, have no vote
+	Sites     int                                //
+	Seed      int64                              // of what the links draw
+	Instances func(a int) []agent.InstanceConfig // those that a machine's agent keeps; nil for none
+	Between   time.Duration                      // a way between two sites
+	Beat      time.Duration                      // how long a leader may be silent; 0 for the agents' own
+	Duties    []string                           // that all agents stand for
+	Clocks    bool                               // the agents' clocks are wrong, each in its way, by the seed
+	Clock     func(a int) string                 // what is wrong with each of them instead
 	// Struck hears what is done to the instances of a machine: before they are killed or stopped, and after they went on.
 	Struck func(a int, what Strike)
 	// Severed hears that a machine's ways to the servers of a zone are cut, and that they are back.
@@ -159,7 +159,7 @@
 			if err != nil {
 				return nil, err
 			}
-			fmt.Fprintf(&text, "[[instance]]\nname = %q\ncommand = %s\ncontrol = %q\n", i.Name, quoted, i.Control)
+			fmt.Fprintf(&text, "[[instance]]\nname = %q\ncommand = %s\ncontrol = %q\n", i.Name, quoted, i.ControlAddress)
 		}
 		if err := os.WriteFile(m.plan(a), []byte(text.String()), 0o600); err != nil {
 			return nil, err
@@ -431,7 +431,7 @@
 }
 
 func (m *Machines) ask(ctx context.Context, a int, within time.Duration, how func(context.Context, *agent.Client) error) error {
-	c := agent.Dial(m.listen[a])
+	c := agent.NewClient(m.listen[a])
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
@@ -443,7 +443,7 @@
 func zone(site int) string         { return fmt.Sprint("zone", site) }
 
 // keeps are the instances that a machine's agent keeps.
-func (m *Machines) keeps(a int) []agent.Instance {
+func (m *Machines) keeps(a int) []agent.InstanceConfig {
 	if m.Instances == nil {
 		return nil
 	}
--- a/lab/chaos/record.go
+++ b/lab/chaos/record.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"hatchproxy/agent"
-	"hatchproxy/agent/wanted"
+	"hatchproxy/agent/clusterstate"
 	"hatchproxy/internal/control"
 )
 
@@ -62,7 +62,7 @@
 			continue
 		}
 		for _, i := range m.Instances(a) {
-			c := control.NewClient(i.Control)
+			c := control.NewClient(i.ControlAddress)
 			each(looking, func() {
 				if h, err := rec.held(ctx, c, a, i.Name); err == nil {
 					rec.note(func(r *Record) { r.Held = append(r.Held, h) })
@@ -80,10 +80,10 @@
 }
 
 // Say has an agent say a command, and notes what came of it.
-func (rec *Recorder) Say(ctx context.Context, a int, c wanted.Command, within time.Duration) (uint64, error) {
+func (rec *Recorder) Say(ctx context.Context, a int, c clusterstate.Command, within time.Duration) (uint64, error) {
 	s := Said{ID: c.ID, Agent: a, Began: time.Since(rec.begin)}
 	err := rec.m.ask(ctx, a, within, func(ctx context.Context, client *agent.Client) (err error) {
-		s.Number, err = client.Say(ctx, c)
+		s.Number, err = client.Submit(ctx, c)
 		return err
 	})
 	if err != nil {
@@ -141,7 +141,7 @@
 	err := until(ctx, waiting, func() (good bool) {
 		supervise()
 		var err error
-		number, err = rec.Say(ctx, n%len(m.names), wanted.Command{ID: fmt.Sprint("last", n), Verb: wanted.Undrain, Server: server}, impatient)
+		number, err = rec.Say(ctx, n%len(m.names), clusterstate.Command{ID: fmt.Sprint("last", n), Verb: clusterstate.Undrain, Server: server}, impatient)
 		n++
 		return err == nil
 	})
@@ -163,7 +163,7 @@
 	err = until(ctx, time.Until(end), func() bool {
 		for a := range m.names {
 			for _, i := range m.keeps(a) {
-				c := control.NewClient(i.Control)
+				c := control.NewClient(i.ControlAddress)
 				h, err := rec.held(ctx, c, a, i.Name)
 				c.Close()
 				if err != nil || h.Orders[server].Number < number {
@@ -219,8 +219,8 @@
 	s := Seen{Agent: a, At: time.Since(rec.begin), Past: map[uint64]string{}}
 	err := rec.m.ask(ctx, a, time.Second, func(ctx context.Context, c *agent.Client) error {
 		v, err := c.View(ctx)
-		s.Leads, s.Term, s.Applied, s.Holds = v.Leads, v.Term, v.Applied, v.Holds
-		for _, e := range v.Past {
+		s.Leads, s.Term, s.Applied, s.Holds = v.IsLeader, v.Term, v.AppliedIndex, v.HeldDuties
+		for _, e := range v.RecentCommands {
 			s.Past[e.Number] = e.ID
 		}
 		return err
@@ -266,7 +266,7 @@
 					return
 				case <-time.After(saying):
 				}
-				c := wanted.Command{ID: fmt.Sprintf("c%d-%d", a, n), Verb: wanted.Drain, Server: fmt.Sprint("s", n%10)}
+				c := clusterstate.Command{ID: fmt.Sprintf("c%d-%d", a, n), Verb: clusterstate.Drain, Server: fmt.Sprint("s", n%10)}
 				if _, err := rec.Say(ctx, a, c, impatient); err != nil || n%again == 0 {
 					_, _ = rec.Say(ctx, (a+1)%len(m.names), c, impatient) // what became of it is heard elsewhere, by saying it again
 				}
@@ -297,7 +297,7 @@
 	err := until(ctx, rising, func() bool {
 		first++
 		return m.ask(ctx, first%len(m.names), asking, func(ctx context.Context, c *agent.Client) error {
-			_, err := c.Say(ctx, wanted.Command{ID: "first", Verb: wanted.Undrain, Server: "s-first"})
+			_, err := c.Submit(ctx, clusterstate.Command{ID: "first", Verb: clusterstate.Undrain, Server: "s-first"})
 			return err
 		}) == nil
 	})
--- a/lab/chaos/spread.go
+++ b/lab/chaos/spread.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"hatchproxy/agent"
-	"hatchproxy/agent/wanted"
+	"hatchproxy/agent/clusterstate"
 )
 
 // Spread is how commands reach many agents, and what they cost at rest.
@@ -27,7 +27,7 @@
 	}
 	say := func(a int, id string) (number uint64, err error) {
 		err = m.Ask(ctx, a, func(ctx context.Context, c *agent.Client) error {
-			number, err = c.Say(ctx, wanted.Command{ID: id, Verb: wanted.Drain, Server: "s1"})
+			number, err = c.Submit(ctx, clusterstate.Command{ID: id, Verb: clusterstate.Drain, Server: "s1"})
 			return err
 		})
 		return number, err
@@ -39,7 +39,7 @@
 			for a := range m.names {
 				if !have[a] {
 					err := m.Ask(ctx, a, func(ctx context.Context, c *agent.Client) error {
-						applied, err := c.Applied(ctx)
+						applied, err := c.AppliedIndex(ctx)
 						have[a] = err == nil && applied >= number
 						return err
 					})
--- a/lab/worth/worth_test.go
+++ b/lab/clienttime/clienttime_test.go
@@ -1,4 +1,4 @@
-package worth_test
+package clienttime_test
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"hatchproxy/lab/worth"
+	"hatchproxy/lab/clienttime"
 )
 
 // A client stands for two seconds, is dropped, is turned away by another proxy, stands at a third server and leaves. Another
@@ -41,32 +41,32 @@
 		"4.900 time=2026-01-01T00:00:04.900Z level=DEBUG msg=ended proxy=n1 id=2 by=client",
 		"4.950 time=2026-01-01T00:00:04.950Z level=DEBUG msg=asked proxy=n1 id=3 key=99 class=chat group=5 back=false",
 		"4.950 time=2026-01-01T00:00:04.950Z level=DEBUG msg=answered proxy=n1 id=3 ending=deferred")
-	a, err := worth.Read(folder)
+	a, err := clienttime.ReadLogs(folder)
 	require.NoError(t, err)
 	require.Len(t, a.Seconds, 5)
-	sum := worth.Second{Between: map[string]float64{}}
+	sum := clienttime.Second{Reconnecting: map[string]float64{}}
 	for _, s := range a.Seconds {
-		sum.Standing += s.Standing
+		sum.Established += s.Established
 		sum.SettingUp += s.SettingUp
-		for why, span := range s.Between {
-			sum.Between[why] += span
+		for why, span := range s.Reconnecting {
+			sum.Reconnecting[why] += span
 		}
 	}
-	require.InDelta(t, 2+3+2, sum.Standing, 1e-6)
+	require.InDelta(t, 2+3+2, sum.Established, 1e-6)
 	require.InDelta(t, 0.1+0.2+0.45, sum.SettingUp, 1e-6)
-	require.InDelta(t, 0.1, sum.Between["server"], 1e-6, "dropped, and asked again")
-	require.InDelta(t, 0.4, sum.Between["answered deferred"], 1e-6, "turned away, and asked again")
-	require.InDelta(t, 1, sum.Between["killed"], 1e-6)
-	require.InDelta(t, 0.5, a.Seconds[3].Between["killed"], 1e-6, "cut where seconds end")
-	require.Equal(t, 1, a.Lost)
-	require.Equal(t, worth.Server{Name: "s-a", SetUps: 2, Dropped: 1, MostStanding: 2, Groups: 2}, a.Servers[0])
-	require.Contains(t, a.Servers, worth.Server{Name: "s-b", SetUps: 1, Failed: 1})
+	require.InDelta(t, 0.1, sum.Reconnecting["server"], 1e-6, "dropped, and asked again")
+	require.InDelta(t, 0.4, sum.Reconnecting["answered deferred"], 1e-6, "turned away, and asked again")
+	require.InDelta(t, 1, sum.Reconnecting["killed"], 1e-6)
+	require.InDelta(t, 0.5, a.Seconds[3].Reconnecting["killed"], 1e-6, "cut where seconds end")
+	require.Equal(t, 1, a.LostClients)
+	require.Equal(t, clienttime.ServerTotals{Name: "s-a", Attempts: 2, DroppedConnections: 1, MaxEstablished: 2, GroupsAtMax: 2}, a.Servers[0])
+	require.Contains(t, a.Servers, clienttime.ServerTotals{Name: "s-b", Attempts: 1, FailedAttempts: 1})
 	var b strings.Builder
 	require.NoError(t, a.Write(&b))
 	require.Contains(t, b.String(), "answered deferred: 2")
 }
 
 func TestAFolderWithoutLogsIsSaidSo(t *testing.T) {
-	_, err := worth.Read(t.TempDir())
+	_, err := clienttime.ReadLogs(t.TempDir())
 	require.ErrorContains(t, err, "no logs")
 }
--- a/lab/experiment/compare.go
+++ b/lab/experiment/compare.go
@@ -20,10 +20,10 @@
 	High float64 `json:"high"`
 }
 
-// Sure tells whether the interval leaves 0 out.
-func (d Difference) Sure() bool { return d.Low > 0 || d.High < 0 }
+// IsSignificant tells whether the interval leaves 0 out.
+func (d Difference) IsSignificant() bool { return d.Low > 0 || d.High < 0 }
 
-const confidence = 0.95
+const confidenceLevel = 0.95
 
 // Compare takes the differences of figures over pairs of results.
 func Compare(first, second []*Result, figures []string) []Difference {
@@ -41,26 +41,26 @@
 			continue
 		}
 		f := Difference{Figure: name, First: stat.Mean(a, nil), Second: stat.Mean(b, nil)}
-		f.Mean, f.Low, f.High = interval(d)
+		f.Mean, f.Low, f.High = confidenceInterval(d)
 		found = append(found, f)
 	}
 	return found
 }
 
-// interval is the mean of a sample and the bounds on what it estimates.
-func interval(sample []float64) (mean, low, high float64) {
+// confidenceInterval is the mean of a sample and the bounds on what it estimates.
+func confidenceInterval(sample []float64) (mean, low, high float64) {
 	mean = stat.Mean(sample, nil)
 	if len(sample) < 2 {
 		return mean, -math.MaxFloat64, math.MaxFloat64
 	}
 	n := float64(len(sample))
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(1 - (1-confidence)/2)
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(1 - (1-confidenceLevel)/2)
 	half := t * stat.StdDev(sample, nil) / math.Sqrt(n)
 	return mean, mean - half, mean + half
 }
 
-// Compared are the figures that a comparison tells.
-var Compared = []string{"served", "served-worst-10s", "served-after", "set-up-p50", "set-up-p99", "line-p50", "line-p99", "busy",
+// ComparedFigures are the figures that a comparison tells.
+var ComparedFigures = []string{"served", "served-worst-10s", "served-after", "set-up-p50", "set-up-p99", "line-p50", "line-p99", "busy",
 	"moves-share", "breaches", "tipped", "proxy-cpu", "proxy-mb"}
 
 // Median is the middle of a sample; 0 of none.
--- a/lab/experiment/cost.go
+++ b/lab/experiment/cost.go
@@ -17,25 +17,25 @@
 	"hatchproxy/lab/ledger"
 )
 
-// Path is what a program between clients and servers takes with so many connections standing.
-type Path struct {
-	SetUp  float64 `json:"set_up_us"` // medians
-	Line   float64 `json:"line_us"`
-	CPU    float64 `json:"cpu_us_a_line"`
-	Memory float64 `json:"memory_kb_a_connection"`
-	Idle   float64 `json:"cpu_us_a_second_and_connection"` // while the connections stand and say nothing
+// PathCost is what a program between clients and servers takes with so many connections standing.
+type PathCost struct {
+	SetUpMicros          float64 `json:"set_up_us"` // medians
+	LineMicros           float64 `json:"line_us"`
+	CPUMicrosPerLine     float64 `json:"cpu_us_a_line"`
+	MemoryKBPerConn      float64 `json:"memory_kb_a_connection"`
+	IdleCPUMicrosPerConn float64 `json:"cpu_us_a_second_and_connection"` // while the connections stand and say nothing
 }
 
 // Cost is what a proxy's path takes beside a bare relay's, in turn, in as many pairs.
 type Cost struct {
-	Standing int    `json:"standing"`
-	Build    string `json:"build"`
-	Relay    []Path `json:"relay"`
-	Proxy    []Path `json:"proxy"`
+	Connections int        `json:"standing"`
+	Build       string     `json:"build"`
+	Relay       []PathCost `json:"relay"`
+	Proxy       []PathCost `json:"proxy"`
 }
 
-// Ratio is a proxy's figure over the relay's: the median of the pairs.
-func (c Cost) Ratio(of func(Path) float64) float64 {
+// MedianRatio is a proxy's figure over the relay's: the median of the pairs.
+func (c Cost) MedianRatio(of func(PathCost) float64) float64 {
 	var ratios []float64
 	for i := range c.Proxy {
 		if r := of(c.Relay[i]); r > 0 {
@@ -45,8 +45,8 @@
 	return Median(ratios)
 }
 
-// Middle is a figure's median over the pairs.
-func (c Cost) Middle(of func(Path) float64) (relay, proxy float64) {
+// Medians is a figure's median over the pairs.
+func (c Cost) Medians(of func(PathCost) float64) (relay, proxy float64) {
 	var r, p []float64
 	for i := range c.Proxy {
 		r, p = append(r, of(c.Relay[i])), append(p, of(c.Proxy[i]))
@@ -54,40 +54,40 @@
 	return Median(r), Median(p)
 }
 
-// Parts are the figures of a path, each with its name.
-var Parts = []struct {
+// CostFigures are the figures of a path, each with its name.
+var CostFigures = []struct {
 	Name string
-	Of   func(Path) float64
+	Of   func(PathCost) float64
 }{
-	{"set-up us", func(p Path) float64 { return p.SetUp }}, {"line us", func(p Path) float64 { return p.Line }},
-	{"CPU us a line", func(p Path) float64 { return p.CPU }}, {"memory KB a connection", func(p Path) float64 { return p.Memory }},
-	{"CPU us a second and idle connection", func(p Path) float64 { return p.Idle }},
+	{"set-up us", func(p PathCost) float64 { return p.SetUpMicros }}, {"line us", func(p PathCost) float64 { return p.LineMicros }},
+	{"CPU us a line", func(p PathCost) float64 { return p.CPUMicrosPerLine }}, {"memory KB a connection", func(p PathCost) float64 { return p.MemoryKBPerConn }},
+	{"CPU us a second and idle connection", func(p PathCost) float64 { return p.IdleCPUMicrosPerConn }},
 }
 
-// Words tells it in a line.
-func (c Cost) Words() string {
+// Summary tells it in a line.
+func (c Cost) Summary() string {
 	var parts []string
-	for _, part := range Parts {
-		r, p := c.Middle(part.Of)
-		parts = append(parts, fmt.Sprintf("%s %.3g/%.3g=%.2f", part.Name, p, r, c.Ratio(part.Of)))
+	for _, part := range CostFigures {
+		r, p := c.Medians(part.Of)
+		parts = append(parts, fmt.Sprintf("%s %.3g/%.3g=%.2f", part.Name, p, r, c.MedianRatio(part.Of)))
 	}
 	return strings.Join(parts, ", ")
 }
 
 const (
-	// askSetUps and askLines are how many are taken for a median, one after the other.
-	askSetUps = 300
-	askLines  = 2000
-	// flood is how long lines are sent over all connections for the CPU's figure.
-	flood = 2 * time.Second
-	// idle is how long nothing is sent.
-	idle = 2 * time.Second
-	// spareDescriptors are those that no connection holds.
-	spareDescriptors = 400
+	// setUpSamples and askLines are how many are taken for a median, one after the other.
+	setUpSamples = 300
+	lineSamples  = 2000
+	// floodTime is how long lines are sent over all connections for the CPU's figure.
+	floodTime = 2 * time.Second
+	// idleTime is how long nothing is sent.
+	idleTime = 2 * time.Second
+	// reservedDescriptors are those that no connection holds.
+	reservedDescriptors = 400
 )
 
-// costFile is the experiment that costs are taken on: servers of unbounded capacity that answer at once.
-const costFile = `name = "cost"
+// costExperiment is the experiment that costs are taken on: servers of unbounded capacity that answer at once.
+const costExperiment = `name = "cost"
 length = "60s"
 [proxies]
 count = 1
@@ -118,17 +118,17 @@
 rate = 1.0
 `
 
-// TakeCost measures a build beside a bare relay, in turn. relay starts a bare relay at an address before servers.
-func TakeCost(ctx context.Context, binary string, relay func(listen, servers string) *exec.Cmd, standing, pairs int, folder string,
+// MeasureCost measures a build beside a bare relay, in turn. relay starts a bare relay at an address before servers.
+func MeasureCost(ctx context.Context, binary string, relay func(listen, servers string) *exec.Cmd, standing, pairs int, folder string,
 	tell func(string, ...any)) (*Cost, error) {
-	c := &Cost{Standing: standing, Build: filepath.Base(binary)}
+	c := &Cost{Connections: standing, Build: filepath.Base(binary)}
 	for i := range pairs {
 		for turn := range 2 {
 			with := ""
 			if (turn+i)%2 == 0 {
 				with = binary
 			}
-			p, err := takePath(ctx, with, relay, standing, folder)
+			p, err := measurePath(ctx, with, relay, standing, folder)
 			if err != nil {
 				return nil, err
 			}
@@ -141,30 +141,30 @@
 			}
 			if tell != nil {
 				tell("%d standing, pair %d, %s: set-up %.0f us, line %.0f us, CPU a line %.1f us, memory %.1f KB, idle %.1f us", standing, i+1, name,
-					p.SetUp, p.Line, p.CPU, p.Memory, p.Idle)
+					p.SetUpMicros, p.LineMicros, p.CPUMicrosPerLine, p.MemoryKBPerConn, p.IdleCPUMicrosPerConn)
 			}
 		}
 	}
 	return c, nil
 }
 
-// Room tells whether so many connections fit the descriptors that a process may have.
-func Room(standing int) error {
+// CheckDescriptorLimit tells whether so many connections fit the descriptors that a process may have.
+func CheckDescriptorLimit(standing int) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	if most := (int(limit.Cur) - spareDescriptors) / 2; standing > most {
-		return fmt.Errorf("%d connections need %d descriptors in a process, and %d are allowed: %d are the most", standing, 2*standing+spareDescriptors, limit.Cur, most)
+	if most := (int(limit.Cur) - reservedDescriptors) / 2; standing > most {
+		return fmt.Errorf("%d connections need %d descriptors in a process, and %d are allowed: %d are the most", standing, 2*standing+reservedDescriptors, limit.Cur, most)
 	}
 	return nil
 }
 
-func takePath(ctx context.Context, binary string, relay func(listen, servers string) *exec.Cmd, standing int, folder string) (*Path, error) {
-	if err := Room(standing); err != nil {
+func measurePath(ctx context.Context, binary string, relay func(listen, servers string) *exec.Cmd, standing int, folder string) (*PathCost, error) {
+	if err := CheckDescriptorLimit(standing); err != nil {
 		return nil, err
 	}
-	f, err := Parse("cost", []byte(costFile))
+	f, err := Parse("cost", []byte(costExperiment))
 	if err != nil {
 		return nil, err
 	}
@@ -174,7 +174,7 @@
 		return nil, err
 	}
 	defer servers.Stop()
-	address, held, err := reserve(0)
+	address, held, err := reserveAddress(0)
 	if err != nil {
 		return nil, err
 	}
@@ -185,15 +185,15 @@
 		if err != nil {
 			return nil, err
 		}
-		i := &instance{address: address, folder: folder, binary: binary, front: front, seed: 1}
-		if err := i.write(f); err != nil {
+		i := &instance{address: address, dir: folder, binary: binary, discovery: front, seed: 1}
+		if err := i.writeConfig(f); err != nil {
 			return nil, err
 		}
 		if err := i.start(); err != nil {
 			return nil, err
 		}
-		defer i.end(syscall.SIGKILL)
-		pid = i.process.Process.Pid
+		defer i.terminate(syscall.SIGKILL)
+		pid = i.cmd.Process.Pid
 	} else {
 		cmd := relay(address, strings.Join(servers.Addresses(0), ","))
 		cmd.Stderr = os.Stderr
@@ -209,7 +209,7 @@
 			return nil, err
 		}
 	}
-	return measure(ctx, address, pid, standing)
+	return measureProcess(ctx, address, pid, standing)
 }
 
 func awaitListener(ctx context.Context, address string) error {
@@ -227,36 +227,36 @@
 	return errors.New("the relay does not listen")
 }
 
-// caller is a client of few needs.
-type caller struct {
+// testClient is a client of few needs.
+type testClient struct {
 	net.Conn
-	in *lineReader
-	n  int64
+	reader       *lineReader
+	messagesSent int64
 }
 
 type lineReader struct{ *bufio.Reader }
 
-func (r lineReader) line() (string, error) {
+func (r lineReader) readLine() (string, error) {
 	text, err := r.ReadString('\n')
 	return strings.TrimRight(text, "\r\n"), err
 }
 
-var callers uint64
+var clientCount uint64
 
-// call sets a connection up.
-func call(address string) (*caller, error) {
+// dialTestClient sets a connection up.
+func dialTestClient(address string) (*testClient, error) {
 	c, err := net.DialTimeout("tcp", address, 5*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	callers++
+	clientCount++
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
-	if _, err := fmt.Fprintf(c, "OPEN %016x %016x c=chat,d=5000\r\n", callers, callers); err != nil {
+	if _, err := fmt.Fprintf(c, "OPEN %016x %016x c=chat,d=5000\r\n", clientCount, clientCount); err != nil {
 		_ = c.Close()
 		return nil, err
 	}
-	k := &caller{c, &lineReader{bufio.NewReaderSize(c, 256)}, 0}
-	if word, err := k.in.line(); err != nil || !strings.HasPrefix(word, "UP ") {
+	k := &testClient{c, &lineReader{bufio.NewReaderSize(c, 256)}, 0}
+	if word, err := k.reader.readLine(); err != nil || !strings.HasPrefix(word, "UP ") {
 		_ = c.Close()
 		return nil, fmt.Errorf("no UP but %q, %w", word, err)
 	}
@@ -264,25 +264,25 @@
 	return k, nil
 }
 
-func (k *caller) send(at ledger.Micros) error {
-	k.n++
-	_, err := k.Write([]byte(fleet.Seal("M", k.n, int64(at))))
+func (k *testClient) send(at ledger.Micros) error {
+	k.messagesSent++
+	_, err := k.Write([]byte(fleet.Seal("M", k.messagesSent, int64(at))))
 	return err
 }
 
-func measure(ctx context.Context, address string, pid, standing int) (*Path, error) {
-	_, before, err := Usage(pid)
+func measureProcess(ctx context.Context, address string, pid, standing int) (*PathCost, error) {
+	_, before, err := ProcessUsage(pid)
 	if err != nil {
 		return nil, err
 	}
-	stand := make([]*caller, 0, standing)
+	stand := make([]*testClient, 0, standing)
 	defer func() {
 		for _, k := range stand {
 			_ = k.Close()
 		}
 	}()
 	for range standing {
-		k, err := call(address)
+		k, err := dialTestClient(address)
 		if err != nil {
 			return nil, fmt.Errorf("after %d connections: %w", len(stand), err)
 		}
@@ -291,59 +291,59 @@
 			return nil, ctx.Err()
 		}
 	}
-	p := &Path{}
-	cpu, after, err := Usage(pid)
+	p := &PathCost{}
+	cpu, after, err := ProcessUsage(pid)
 	if err != nil {
 		return nil, err
 	}
-	p.Memory = float64(after-before) / 1024 / float64(standing)
-	time.Sleep(idle)
-	rested, _, err := Usage(pid)
+	p.MemoryKBPerConn = float64(after-before) / 1024 / float64(standing)
+	time.Sleep(idleTime)
+	rested, _, err := ProcessUsage(pid)
 	if err != nil {
 		return nil, err
 	}
-	p.Idle = float64((rested - cpu).Microseconds()) / idle.Seconds() / float64(standing)
+	p.IdleCPUMicrosPerConn = float64((rested - cpu).Microseconds()) / idleTime.Seconds() / float64(standing)
 
 	var took []float64
-	for range askSetUps {
+	for range setUpSamples {
 		began := time.Now()
-		k, err := call(address)
+		k, err := dialTestClient(address)
 		if err != nil {
 			return nil, err
 		}
 		took = append(took, float64(time.Since(began).Microseconds()))
 		_ = k.Close()
 	}
-	p.SetUp = Median(took)
+	p.SetUpMicros = Median(took)
 	took = took[:0]
-	for i := range askLines {
+	for i := range lineSamples {
 		k := stand[i%len(stand)]
 		began := time.Now()
 		if err := k.send(0); err != nil {
 			return nil, err
 		}
-		if _, err := k.in.line(); err != nil {
+		if _, err := k.reader.readLine(); err != nil {
 			return nil, err
 		}
 		took = append(took, float64(time.Since(began).Nanoseconds())/1000)
 	}
-	p.Line = Median(took)
-	if p.CPU, err = flooded(pid, stand); err != nil {
+	p.LineMicros = Median(took)
+	if p.CPUMicrosPerLine, err = cpuMicrosPerLine(pid, stand); err != nil {
 		return nil, err
 	}
 	return p, nil
 }
 
-// flooded has all connections carry lines for a while, a batch of them out at a time, and tells the CPU for each.
-func flooded(pid int, stand []*caller) (float64, error) {
+// cpuMicrosPerLine has all connections carry lines for a while, a batch of them out at a time, and tells the CPU for each.
+func cpuMicrosPerLine(pid int, stand []*testClient) (float64, error) {
 	const batch = 64
-	before, _, err := Usage(pid)
+	before, _, err := ProcessUsage(pid)
 	if err != nil {
 		return 0, err
 	}
 	lines := 0
-	for began := time.Now(); time.Since(began) < flood; {
-		some := make([]*caller, 0, batch)
+	for began := time.Now(); time.Since(began) < floodTime; {
+		some := make([]*testClient, 0, batch)
 		for i := range min(batch, len(stand)) {
 			some = append(some, stand[(lines+i)%len(stand)])
 		}
@@ -353,12 +353,12 @@
 			}
 		}
 		for _, k := range some {
-			if _, err := k.in.line(); err != nil {
+			if _, err := k.reader.readLine(); err != nil {
 				return 0, err
 			}
 		}
 		lines += len(some)
 	}
-	after, _, err := Usage(pid)
+	after, _, err := ProcessUsage(pid)
 	return float64((after - before).Microseconds()) / float64(lines), err
 }
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -14,7 +14,7 @@
 	"hatchproxy/lab/experiment"
 )
 
-const good = `name = "small"
+const baseExperiment = `name = "small"
 length = "5s"
 [proxies]
 count = 2
@@ -69,14 +69,14 @@
 		"[[load.bend]]\nat = \"2s\"\nrate = 1.0\n[[load.bend]]\nat = \"1s\"\nrate = 1.0": {"x.toml:37: load.bend[1].at: comes before"},
 		"load = 5 = 6": {"x.toml:33: "},
 	} {
-		_, err := experiment.Parse("x.toml", []byte(good+wrong))
+		_, err := experiment.Parse("x.toml", []byte(baseExperiment+wrong))
 		for _, text := range want {
 			require.ErrorContains(t, err, text, "%s", wrong)
 		}
 	}
 	_, err := experiment.Parse("x.toml", nil)
 	require.ErrorContains(t, err, "x.toml: product: is missing")
-	f, err := experiment.Parse("x.toml", []byte(good))
+	f, err := experiment.Parse("x.toml", []byte(baseExperiment))
 	require.NoError(t, err)
 	require.Equal(t, "small", f.Name)
 }
@@ -91,7 +91,7 @@
 	}
 }
 
-func result(served ...float64) []*experiment.Result {
+func resultsServing(served ...float64) []*experiment.Result {
 	var all []*experiment.Result
 	for _, x := range served {
 		all = append(all, &experiment.Result{Figures: map[string]float64{"served": x}})
@@ -100,17 +100,17 @@
 }
 
 func TestAComparisonIsSureOnlyOfWhatThePairsBear(t *testing.T) {
-	d := experiment.Compare(result(0.5, 0.7, 0.9), result(0.61, 0.80, 0.99), []string{"served"})[0]
+	d := experiment.Compare(resultsServing(0.5, 0.7, 0.9), resultsServing(0.61, 0.80, 0.99), []string{"served"})[0]
 	require.InDelta(t, 0.1, d.Mean, 1e-9)
 	require.InDelta(t, 0.1-4.3027*0.01/1.7321, d.Low, 1e-4, "Student's t of 2 degrees of freedom")
-	require.True(t, d.Sure(), "the seeds differ by more than the builds, and the pairs take that out")
-	d = experiment.Compare(result(0.5, 0.7), result(0.7, 0.6), []string{"served"})[0]
-	require.False(t, d.Sure())
-	require.False(t, experiment.Compare(result(0.5), result(0.9), []string{"served"})[0].Sure(), "one pair tells nothing")
+	require.True(t, d.IsSignificant(), "the seeds differ by more than the builds, and the pairs take that out")
+	d = experiment.Compare(resultsServing(0.5, 0.7), resultsServing(0.7, 0.6), []string{"served"})[0]
+	require.False(t, d.IsSignificant())
+	require.False(t, experiment.Compare(resultsServing(0.5), resultsServing(0.9), []string{"served"})[0].IsSignificant(), "one pair tells nothing")
 }
 
-// binary builds the proxy once.
-var binary = sync.OnceValues(func() (string, error) {
+// buildProxy builds the proxy once.
+var buildProxy = sync.OnceValues(func() (string, error) {
 	folder, err := os.MkdirTemp("", "hatchlab-test-")
 	if err != nil {
 		return "", err
@@ -125,21 +125,21 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if path, err := binary(); err == nil {
+	if path, err := buildProxy(); err == nil {
 		_ = os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
 }
 
-// run plays the small experiment with more in it, with real proxies.
-func run(t *testing.T, more string) *experiment.Result {
+// runExperiment plays the small experiment with more in it, with real proxies.
+func runExperiment(t *testing.T, more string) *experiment.Result {
 	t.Helper()
 	t.Parallel()
-	proxy, err := binary()
+	proxy, err := buildProxy()
 	require.NoError(t, err)
-	f, err := experiment.Parse("small.toml", []byte(good+more))
+	f, err := experiment.Parse("small.toml", []byte(baseExperiment+more))
 	require.NoError(t, err)
-	r, err := f.Run(context.Background(), experiment.Order{Seed: 3, Way: experiment.ByProxies, Binary: proxy, Folder: t.TempDir()})
+	r, err := f.Run(context.Background(), experiment.RunOptions{Seed: 3, Placement: experiment.PlacementProxies, ProxyBinary: proxy, Dir: t.TempDir()})
 	require.NoError(t, err)
 	for _, b := range r.Breaches {
 		t.Error(b)
@@ -149,7 +149,7 @@
 }
 
 func TestRealProxiesServeACalmDayAndKeepTheRules(t *testing.T) {
-	r := run(t, "carried = 20\n[expect]\nserved = \">= 0.9\"\nasks = \"<= 10\"\n")
+	r := runExperiment(t, "carried = 20\n[expect]\nserved = \">= 0.9\"\nasks = \"<= 10\"\n")
 	require.Greater(t, r.Figures["served"], 0.9)
 	require.Greater(t, r.Figures["ups"], 150.0)
 	require.Zero(t, r.Figures["carried-lost"])
@@ -159,14 +159,14 @@
 
 // Guards against generators that wait with a proxy that stands still, and against judges that blame it for that.
 func TestAProxyThatIsStoppedForTwoSecondsDelaysNoArrival(t *testing.T) {
-	r := run(t, "[[trouble]]\nkind = \"proxy-stop\"\nat = \"1s\"\nfor = \"2s\"\npart = 1.0\n")
+	r := runExperiment(t, "[[trouble]]\nkind = \"proxy-stop\"\nat = \"1s\"\nfor = \"2s\"\npart = 1.0\n")
 	require.Less(t, r.Figures["late-arrival-p100"], 200.0)
 	require.Greater(t, r.Figures["answer-p100"], 1900.0, "who came first waited for all of it")
 	require.InDelta(t, 40, r.Figures["answers-over-limit"], 30, "half of those who came in it waited more than a second")
 }
 
 func TestProxiesAreKilledMadeToLeaveAndToldToReadAgainAndTheRulesHold(t *testing.T) {
-	r := run(t, `
+	r := runExperiment(t, `
 [[trouble]]
 kind = "proxy-kill"
 at = "1s"
@@ -189,21 +189,21 @@
 }
 
 func TestBaselinesNeedNoProxy(t *testing.T) {
-	f, err := experiment.Parse("small.toml", []byte(good))
+	f, err := experiment.Parse("small.toml", []byte(baseExperiment))
 	require.NoError(t, err)
-	for _, way := range []experiment.Way{experiment.ByChance, experiment.ToOne, experiment.BySight} {
+	for _, way := range []experiment.Placement{experiment.PlacementRandom, experiment.PlacementSingle, experiment.PlacementBest} {
 		t.Run(string(way), func(t *testing.T) {
 			t.Parallel()
-			r, err := f.Run(context.Background(), experiment.Order{Seed: 3, Way: way, Folder: t.TempDir()})
+			r, err := f.Run(context.Background(), experiment.RunOptions{Seed: 3, Placement: way, Dir: t.TempDir()})
 			require.NoError(t, err)
 			require.Greater(t, r.Figures["served"], 0.8)
 			used := 0
-			for _, n := range r.Standing[3] {
+			for _, n := range r.EstablishedBySecond[3] {
 				if n > 0 {
 					used++
 				}
 			}
-			require.Equal(t, way == experiment.ToOne, used == 1)
+			require.Equal(t, way == experiment.PlacementSingle, used == 1)
 		})
 	}
 }
--- a/lab/experiment/file.go
+++ b/lab/experiment/file.go
@@ -21,12 +21,12 @@
 	"hatchproxy/lab/load"
 )
 
-// Span is a time in a file, with its unit: "1.5s", "300ms". It is a struct so that a bare number, of whatever unit, is
+// Duration is a time in a file, with its unit: "1.5s", "300ms". It is a struct so that a bare number, of whatever unit, is
 // no time.
-type Span struct{ Micros ledger.Micros }
+type Duration struct{ Micros ledger.Micros }
 
 // UnmarshalText reads one.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil || d < 0 {
 		return fmt.Errorf("%q is no time such as \"1.5s\" or \"300ms\"", text)
@@ -35,14 +35,14 @@
 	return nil
 }
 
-func (s Span) micros() ledger.Micros { return s.Micros }
+func (s Duration) micros() ledger.Micros { return s.Micros }
 
 // File is an experiment as it is written down. docs/lab.md tells each name.
 type File struct {
 	Path   string `toml:"-"`
 	Name   string
 	About  string
-	Length Span
+	Length Duration
 	Seeds  []uint64
 
 	Proxies struct {
@@ -50,28 +50,28 @@
 		MemoryMB   int `toml:"memory-mb"`
 		Sockets    int
 		Dispatches int
-		Grace      Span
+		Grace      Duration
 	}
 	Control Control
 	Fleet   struct {
 		Servers            int
 		Zones              []string
-		Between            Span
-		CellSize           int  `toml:"cell-size"`
-		SetUp              Span `toml:"set-up"`
-		Probe, Load        Span
-		LoadSpread         float64 `toml:"load-spread"`
-		LoadChange         Span    `toml:"load-change"`
-		GroupCost          float64 `toml:"group-cost"`
-		ConnectionsPerCore int     `toml:"connections-per-core"`
-		QueuePerCore       int     `toml:"queue-per-core"`
-		Message, Notice    Span
+		Between            Duration
+		CellSize           int      `toml:"cell-size"`
+		SetUp              Duration `toml:"set-up"`
+		Probe, Load        Duration
+		LoadSpread         float64  `toml:"load-spread"`
+		LoadChange         Duration `toml:"load-change"`
+		GroupCost          float64  `toml:"group-cost"`
+		ConnectionsPerCore int      `toml:"connections-per-core"`
+		QueuePerCore       int      `toml:"queue-per-core"`
+		Message, Notice    Duration
 		Weights            string
 		TellsLoad          bool `toml:"tells-load"`
 		Probes, Sheds      bool
 		Cold               struct {
 			From, Multiple float64
-			Warm, Window   Span
+			Warm, Window   Duration
 		}
 		Kind []struct {
 			Name                 string
@@ -82,36 +82,36 @@
 	Product []struct {
 		Name, Repeat, Reach string
 		Share, Gain         float64
-		Life, Window        Span
-		Quoted, Limit       Span
-		Message             Span
+		Life, Window        Duration
+		Quoted, Limit       Duration
+		Message             Duration
 	}
 	Load struct {
 		Rate                float64
 		Groups              int
 		Zipf, Heed, Skew    float64
 		Retries, Carried    int
-		Wait, Rejoin, Every Span
-		Return              Span
+		Wait, Rejoin, Every Duration
+		Return              Duration
 		Marks               bool
 		Leave, Rest         float64 // shares of requests: given up early by the client; on a connection that rested first
 		Trace               string
 		Bend                []struct {
-			At   Span
+			At   Duration
 			Rate float64
 		}
 	}
 	Trouble []struct {
 		Kind    string
-		At, For Span
+		At, For Duration
 		Part    float64
 		Servers []int
 		Size    float64
 	}
 	Expect map[string]string
 
-	places tomlfile.Positions
-	trace  []load.Arrival
+	positions      tomlfile.Positions
+	tracedArrivals []load.Arrival
 }
 
 // Control is what keeps the proxies.
@@ -123,15 +123,15 @@
 	Sites  int      // machine m stands in site m modulo this, with the servers of zone m modulo this; 0 for one
 }
 
-func (c Control) voters() int { return cmp.Or(c.Voters, c.Agents) }
-func (c Control) sites() int  { return cmp.Or(c.Sites, 1) }
+func (c Control) voterCount() int { return cmp.Or(c.Voters, c.Agents) }
+func (c Control) siteCount() int  { return cmp.Or(c.Sites, 1) }
 
-// counts is how many there are of what a kind of trouble is for.
-func (f *File) counts(kind string) int {
-	fault, is := faultOf(kind)
+// targetCount is how many there are of what a kind of trouble is for.
+func (f *File) targetCount(kind string) int {
+	fault, is := machineFault(kind)
 	switch {
 	case is && fault.OfSite():
-		return f.Control.sites()
+		return f.Control.siteCount()
 	case is:
 		return f.Control.Agents
 	case fleet.OfProxies(kind):
@@ -152,42 +152,42 @@
 // Parse does the same with a text.
 func Parse(path string, text []byte) (*File, error) {
 	f := &File{Path: path}
-	f.standard()
+	f.setDefaults()
 	if err := tomlfile.Decode(path, text, f); err != nil {
 		return nil, err
 	}
-	f.places = tomlfile.FindPositions(path, text)
-	if faults := f.check(); len(faults) > 0 {
+	f.positions = tomlfile.FindPositions(path, text)
+	if faults := f.validate(); len(faults) > 0 {
 		return nil, errors.Join(faults...)
 	}
 	return f, nil
 }
 
-// standard is what holds where a file says nothing: the deployment of the first operators.
-func (f *File) standard() {
-	f.Length, f.Seeds = Span{20 * ledger.Second}, []uint64{1}
+// setDefaults is what holds where a file says nothing: the deployment of the first operators.
+func (f *File) setDefaults() {
+	f.Length, f.Seeds = Duration{20 * ledger.Second}, []uint64{1}
 	p := &f.Proxies
-	p.Count, p.MemoryMB, p.Sockets, p.Dispatches, p.Grace = 2, 192, 16384, 6, Span{2 * ledger.Second}
+	p.Count, p.MemoryMB, p.Sockets, p.Dispatches, p.Grace = 2, 192, 16384, 6, Duration{2 * ledger.Second}
 	fl := &f.Fleet
 	fl.Servers, fl.Zones = 8, []string{"a"}
-	fl.SetUp, fl.Probe, fl.Load, fl.Message = Span{8 * ledger.Millisecond}, Span{200}, Span{60 * ledger.Millisecond}, Span{2 * ledger.Millisecond}
-	fl.Notice, fl.Weights = Span{500 * ledger.Millisecond}, "nominal"
+	fl.SetUp, fl.Probe, fl.Load, fl.Message = Duration{8 * ledger.Millisecond}, Duration{200}, Duration{60 * ledger.Millisecond}, Duration{2 * ledger.Millisecond}
+	fl.Notice, fl.Weights = Duration{500 * ledger.Millisecond}, "nominal"
 	fl.TellsLoad, fl.Probes = true, true
-	fl.Cold.From, fl.Cold.Multiple, fl.Cold.Warm, fl.Cold.Window = 0.3, 4, Span{9 * ledger.Second}, Span{3 * ledger.Second}
+	fl.Cold.From, fl.Cold.Multiple, fl.Cold.Warm, fl.Cold.Window = 0.3, 4, Duration{9 * ledger.Second}, Duration{3 * ledger.Second}
 	l := &f.Load
 	l.Heed, l.Skew, l.Retries, l.Zipf = 1, 0.5, 3, 1.1
-	l.Wait, l.Rejoin, l.Every = Span{60 * ledger.Millisecond}, Span{1600 * ledger.Millisecond}, Span{2 * ledger.Second}
+	l.Wait, l.Rejoin, l.Every = Duration{60 * ledger.Millisecond}, Duration{1600 * ledger.Millisecond}, Duration{2 * ledger.Second}
 }
 
 var (
-	repeats = map[string]ledger.Repeat{"harmless": ledger.Harmless, "stamped": ledger.Stamped, "one-shot": ledger.OneShot}
-	reaches = map[string]ledger.Reach{"": ledger.ReachAll, "all": ledger.ReachAll, "zone": ledger.ReachZone, "group": ledger.ReachCell}
+	idempotencyByName = map[string]ledger.Repeat{"harmless": ledger.Harmless, "stamped": ledger.Stamped, "one-shot": ledger.OneShot}
+	dedupScopeByName  = map[string]ledger.Reach{"": ledger.ReachAll, "all": ledger.ReachAll, "zone": ledger.ReachZone, "group": ledger.ReachCell}
 )
 
-// check finds all that is wrong.
-func (f *File) check() (faults []error) {
+// validate finds all that is wrong.
+func (f *File) validate() (faults []error) {
 	wrong := func(key, format string, a ...any) {
-		faults = append(faults, fmt.Errorf("%s: %s: %s", f.places.At(key), key, fmt.Sprintf(format, a...)))
+		faults = append(faults, fmt.Errorf("%s: %s: %s", f.positions.At(key), key, fmt.Sprintf(format, a...)))
 	}
 	between := func(key string, x, least, most float64) {
 		if !(x >= least && x <= most) {
@@ -203,8 +203,8 @@
 	}
 	between("proxies.count", float64(f.Proxies.Count), 1, 64)
 	between("control.agents", float64(f.Control.Agents), 0, 64)
-	between("control.voters", float64(f.Control.voters()), 0, float64(f.Control.Agents))
-	if n := f.Control.sites(); n > 1 && (n != len(f.Fleet.Zones) || f.Control.Agents%n != 0 || f.Control.Agents == 0) {
+	between("control.voters", float64(f.Control.voterCount()), 0, float64(f.Control.Agents))
+	if n := f.Control.siteCount(); n > 1 && (n != len(f.Fleet.Zones) || f.Control.Agents%n != 0 || f.Control.Agents == 0) {
 		wrong("control.sites", "%d sites need as many zones, and agents that divide among them", n)
 	}
 	between("proxies.sockets", float64(f.Proxies.Sockets), 64, 1<<20)
@@ -242,10 +242,10 @@
 			wrong(at+".name", "%q is named twice", p.Name)
 		}
 		names[p.Name] = true
-		if _, known := repeats[p.Repeat]; !known {
-			wrong(at+".repeat", "%q is none of %v", p.Repeat, slices.Sorted(maps.Keys(repeats)))
+		if _, known := idempotencyByName[p.Repeat]; !known {
+			wrong(at+".repeat", "%q is none of %v", p.Repeat, slices.Sorted(maps.Keys(idempotencyByName)))
 		}
-		if _, known := reaches[p.Reach]; !known {
+		if _, known := dedupScopeByName[p.Reach]; !known {
 			wrong(at+".reach", "%q is none of all, zone, group", p.Reach)
 		}
 		between(at+".limit", p.Limit.micros().Span().Seconds(), 0.01, 600)
@@ -276,7 +276,7 @@
 			wrong(at+".kind", "%q is none of %s", t.Kind, strings.Join(slices.Sorted(maps.Keys(fleet.Kinds)), ", "))
 			continue
 		}
-		of := f.counts(t.Kind)
+		of := f.targetCount(t.Kind)
 		if fleet.OfAgents(t.Kind) && f.Control.Agents == 0 {
 			wrong(at+".kind", "%q needs control.agents", t.Kind)
 		}
@@ -292,10 +292,10 @@
 		}
 	}
 	for name, want := range f.Expect {
-		if _, err := readLimit(want); err != nil {
+		if _, err := parseBound(want); err != nil {
 			wrong("expect."+name, "%v", err)
 		}
-		if !figureName.MatchString(name) {
+		if !figurePattern.MatchString(name) {
 			wrong("expect."+name, "there is no such figure; `hatchlab figures` lists them")
 		}
 	}
@@ -318,47 +318,47 @@
 		return err
 	}
 	defer in.Close()
-	f.trace, err = load.ReadTrace(in, path, f.products())
+	f.tracedArrivals, err = load.ReadTrace(in, path, f.products())
 	return err
 }
 
-// limit is a bound on a figure.
-type limit struct {
-	sign  string
-	bound float64
+// bound is a bound on a figure.
+type bound struct {
+	operator string
+	value    float64
 }
 
-var limitForm = regexp.MustCompile(`^(<=|>=|<|>|=)\s*(\S+)$`)
+var boundPattern = regexp.MustCompile(`^(<=|>=|<|>|=)\s*(\S+)$`)
 
-// readLimit reads a bound such as ">= 0.9" or "<= 300ms"; times are figures in milliseconds.
-func readLimit(text string) (limit, error) {
-	parts := limitForm.FindStringSubmatch(strings.TrimSpace(text))
+// parseBound reads a bound such as ">= 0.9" or "<= 300ms"; times are figures in milliseconds.
+func parseBound(text string) (bound, error) {
+	parts := boundPattern.FindStringSubmatch(strings.TrimSpace(text))
 	if parts == nil {
-		return limit{}, fmt.Errorf("%q is no bound such as \">= 0.9\" or \"<= 300ms\"", text)
+		return bound{}, fmt.Errorf("%q is no bound such as \">= 0.9\" or \"<= 300ms\"", text)
 	}
 	if x, err := strconv.ParseFloat(parts[2], 64); err == nil {
-		return limit{parts[1], x}, nil
+		return bound{parts[1], x}, nil
 	}
 	d, err := time.ParseDuration(parts[2])
 	if err != nil {
-		return limit{}, fmt.Errorf("%q is neither a number nor a time", parts[2])
+		return bound{}, fmt.Errorf("%q is neither a number nor a time", parts[2])
 	}
-	return limit{parts[1], float64(d.Microseconds()) / 1000}, nil
+	return bound{parts[1], float64(d.Microseconds()) / 1000}, nil
 }
 
-// holds tells whether a figure keeps to it; one that is no number never does.
-func (l limit) holds(x float64) bool {
-	switch l.sign {
+// isMetBy tells whether a figure keeps to it; one that is no number never does.
+func (l bound) isMetBy(x float64) bool {
+	switch l.operator {
 	case "<=":
-		return x <= l.bound
+		return x <= l.value
 	case ">=":
-		return x >= l.bound
+		return x >= l.value
 	case "<":
-		return x < l.bound
+		return x < l.value
 	case ">":
-		return x > l.bound
+		return x > l.value
 	}
-	return x == l.bound
+	return x == l.value
 }
 
 // products are what the load needs of the products.
@@ -390,12 +390,12 @@
 
 // arrivals are those of a run with a seed.
 func (f *File) arrivals(length ledger.Micros, seed uint64) []load.Arrival {
-	if f.trace != nil {
-		end := slices.IndexFunc(f.trace, func(a load.Arrival) bool { return a.At >= length })
+	if f.tracedArrivals != nil {
+		end := slices.IndexFunc(f.tracedArrivals, func(a load.Arrival) bool { return a.At >= length })
 		if end < 0 {
-			end = len(f.trace)
+			end = len(f.tracedArrivals)
 		}
-		return f.trace[:end]
+		return f.tracedArrivals[:end]
 	}
 	bends := []load.Bend{{Rate: f.Load.Rate}}
 	if len(f.Load.Bend) > 0 {
@@ -407,14 +407,14 @@
 	return load.Draw(bends, length, f.products(), load.Groups{Count: f.Load.Groups, Zipf: f.Load.Zipf}, seed)
 }
 
-func (f *File) habits() load.Habits {
+func (f *File) clientHabits() load.Habits {
 	l := f.Load
 	return load.Habits{Retries: l.Retries, Wait: l.Wait.micros(), Heed: l.Heed, Rejoin: l.Rejoin.micros(), Return: l.Return.micros(),
 		Every: l.Every.micros(), Marks: l.Marks, Leave: l.Leave, Rest: l.Rest, Skew: l.Skew, Zones: len(f.Fleet.Zones)}
 }
 
-// script is the list of troubles.
-func (f *File) script() []fleet.Trouble {
+// troubleList is the list of troubles.
+func (f *File) troubleList() []fleet.Trouble {
 	var script []fleet.Trouble
 	for _, t := range f.Trouble {
 		script = append(script, fleet.Trouble{Kind: t.Kind, At: t.At.micros(), For: t.For.micros(), Part: t.Part, Servers: t.Servers, Size: t.Size})
--- a/lab/experiment/proxies.go
+++ b/lab/experiment/proxies.go
@@ -22,43 +22,43 @@
 
 // instance is a proxy that runs, or did.
 type instance struct {
-	number  int
-	zone    int
-	address string
-	folder  string
-	binary  string
-	front   *fleet.Front
-	held    io.Closer // its address
-	seed    uint64
+	number      int
+	zone        int
+	address     string
+	dir         string
+	binary      string
+	discovery   *fleet.Front
+	reservation io.Closer // its address
+	seed        uint64
 
-	calls shimmed // what fails in its processes
+	syscalls syscallFaults // what fails in its processes
 
-	managed string // where its agent writes down which process it is; "" where the rig starts it itself
+	processFile string // where its agent writes down which process it is; "" where the rig starts it itself
 
-	mu      sync.Mutex
-	process *exec.Cmd
-	ended   chan struct{} // closed when the process has
-	wanted  bool          // it is to run: an end is a crash
-	open    bool          // clients are sent there
-	crashes int
-	crashed []string      // what is known of each
-	late    int           // planned ends that were not in good order, or in time
-	cpu     time.Duration // of the processes before the present one
-	rss     int64         // the most that was seen, in bytes
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	exited       chan struct{} // closed when the process has
+	shouldRun    bool          // it is to run: an end is a crash
+	ready        bool          // clients are sent there
+	crashes      int
+	crashReports []string      // what is known of each
+	uncleanExits int           // planned ends that were not in good order, or in time
+	earlierCPU   time.Duration // of the processes before the present one
+	maxRSS       int64         // the most that was seen, in bytes
 }
 
-// config is the file that a proxy is told its start by, in the platform's form.
-func (f *File) config(i *instance) ([]byte, error) {
+// proxyConfig is the file that a proxy is told its start by, in the platform's form.
+func (f *File) proxyConfig(i *instance) ([]byte, error) {
 	type table = map[string]any
 	var products []table
 	var messages []float64
-	ms := func(s Span) float64 { return float64(s.Micros) / 1000 }
+	ms := func(s Duration) float64 { return float64(s.Micros) / 1000 }
 	words := map[ledger.Repeat]string{ledger.Harmless: "repeatable", ledger.Stamped: "by_key", ledger.OneShot: "once"}
 	reach := map[ledger.Reach]string{ledger.ReachAll: "all", ledger.ReachZone: "zone", ledger.ReachCell: "cell"}
 	loads := f.products()
 	for n, p := range f.Product {
-		products = append(products, table{"name": p.Name, "idempotency": words[repeats[p.Repeat]], "gain": loads[n].Gain,
-			"group": reach[reaches[p.Reach]], "window-ms": ms(p.Window), "quoted-time-ms": ms(p.Quoted), "hard-limit-ms": ms(p.Limit)})
+		products = append(products, table{"name": p.Name, "idempotency": words[idempotencyByName[p.Repeat]], "gain": loads[n].Gain,
+			"group": reach[dedupScopeByName[p.Reach]], "window-ms": ms(p.Window), "quoted-time-ms": ms(p.Quoted), "hard-limit-ms": ms(p.Limit)})
 		messages = append(messages, float64(loads[n].Message)/1000)
 	}
 	kinds := []string{}
@@ -67,7 +67,7 @@
 	}
 	x := f.Fleet
 	return json.MarshalIndent(table{
-		"name": fmt.Sprintf("n%d", i.number), "listen": i.address, "discovery": i.front.Address(),
+		"name": fmt.Sprintf("n%d", i.number), "listen": i.address, "discovery": i.discovery.Address(),
 		"seed":   fmt.Sprintf("%016x", i.seed),
 		"limits": table{"cores": 1.0, "memory_mb": f.Proxies.MemoryMB, "sockets": f.Proxies.Sockets},
 		"known":  table{"rev": 0, "all": true, "targets": []int{}},
@@ -83,9 +83,9 @@
 	}, "", "  ")
 }
 
-// write lays the configuration down, whole or not at all.
-func (i *instance) write(f *File) error {
-	text, err := f.config(i)
+// writeConfig lays the configuration down, whole or not at all.
+func (i *instance) writeConfig(f *File) error {
+	text, err := f.proxyConfig(i)
 	if err != nil {
 		return err
 	}
@@ -97,9 +97,9 @@
 }
 
 func (i *instance) configPath() string {
-	return filepath.Join(i.folder, fmt.Sprintf("n%d.json", i.number))
+	return filepath.Join(i.dir, fmt.Sprintf("n%d.json", i.number))
 }
-func (i *instance) logPath() string { return filepath.Join(i.folder, fmt.Sprintf("n%d.log", i.number)) }
+func (i *instance) logPath() string { return filepath.Join(i.dir, fmt.Sprintf("n%d.log", i.number)) }
 
 // start starts the process and waits until it answers that it is ready.
 func (i *instance) start() error {
@@ -110,56 +110,56 @@
 	defer log.Close()
 	cmd := exec.Command(i.binary, "serve", "--config", i.configPath())
 	cmd.Stdout, cmd.Stderr = log, log
-	if err := i.calls.start(cmd, i.seed); err != nil {
+	if err := i.syscalls.start(cmd, i.seed); err != nil {
 		return err
 	}
 	ended := make(chan struct{})
 	i.mu.Lock()
-	i.process, i.ended, i.wanted = cmd, ended, true
+	i.cmd, i.exited, i.shouldRun = cmd, ended, true
 	i.mu.Unlock()
 	go func() {
 		_ = cmd.Wait()
 		i.mu.Lock()
-		if i.wanted {
+		if i.shouldRun {
 			i.crashes++
-			i.crashed = append(i.crashed, fmt.Sprintf("proxy %d ended by itself: %s\n%s", i.number, cmd.ProcessState, tail(i.logPath(), 12)))
+			i.crashReports = append(i.crashReports, fmt.Sprintf("proxy %d ended by itself: %s\n%s", i.number, cmd.ProcessState, lastLines(i.logPath(), 12)))
 		}
-		i.open = false
-		i.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+		i.ready = false
+		i.earlierCPU += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 		if usage, known := cmd.ProcessState.SysUsage().(*syscall.Rusage); known {
-			i.rss = max(i.rss, usage.Maxrss<<10)
+			i.maxRSS = max(i.maxRSS, usage.Maxrss<<10)
 		}
-		i.process = nil
+		i.cmd = nil
 		i.mu.Unlock()
 		close(ended)
 	}()
-	return i.await(ended)
+	return i.awaitReady(ended)
 }
 
-// readyWithin is far more than a start takes on a machine that has other work beside.
-const readyWithin = 15 * time.Second
+// readyTimeout is far more than a start takes on a machine that has other work beside.
+const readyTimeout = 15 * time.Second
 
-func (i *instance) await(ended <-chan struct{}) error {
-	deadline := time.Now().Add(readyWithin)
+func (i *instance) awaitReady(ended <-chan struct{}) error {
+	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		select {
 		case <-ended:
-			return fmt.Errorf("proxy %d ended at its start:\n%s", i.number, tail(i.logPath(), 10))
+			return fmt.Errorf("proxy %d ended at its start:\n%s", i.number, lastLines(i.logPath(), 10))
 		case <-time.After(10 * time.Millisecond):
 		}
-		if asked(i.address) {
+		if answersPing(i.address) {
 			i.mu.Lock()
-			i.open = true
+			i.ready = true
 			i.mu.Unlock()
-			i.calls.started()
+			i.syscalls.processReady()
 			return nil
 		}
 	}
-	return fmt.Errorf("proxy %d is not ready after %s:\n%s", i.number, readyWithin, tail(i.logPath(), 10))
+	return fmt.Errorf("proxy %d is not ready after %s:\n%s", i.number, readyTimeout, lastLines(i.logPath(), 10))
 }
 
-// asked tells whether a proxy says that it is ready.
-func asked(address string) bool {
+// answersPing tells whether a proxy says that it is ready.
+func answersPing(address string) bool {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return false
@@ -171,7 +171,7 @@
 	return line == "PONG\r\n"
 }
 
-func tail(path string, lines int) string {
+func lastLines(path string, lines int) string {
 	text, _ := os.ReadFile(path)
 	all := strings.Split(strings.TrimSpace(string(text)), "\n")
 	return strings.Join(all[max(0, len(all)-lines):], "\n")
@@ -181,18 +181,18 @@
 func (i *instance) signal(s syscall.Signal) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.managed != "" {
+	if i.processFile != "" {
 		pid := i.managedPID()
 		return pid > 1 && syscall.Kill(pid, s) == nil
 	}
-	return i.process != nil && i.process.Process.Signal(s) == nil
+	return i.cmd != nil && i.cmd.Process.Signal(s) == nil
 }
 
-// end ends it with a signal and waits; one that does not go within a while is killed.
-func (i *instance) end(s syscall.Signal) {
+// terminate ends it with a signal and waits; one that does not go within a while is killed.
+func (i *instance) terminate(s syscall.Signal) {
 	i.mu.Lock()
-	i.wanted = false
-	ended := i.ended
+	i.shouldRun = false
+	ended := i.exited
 	i.mu.Unlock()
 	if ended == nil || !i.signal(s) {
 		return
@@ -205,20 +205,20 @@
 	}
 }
 
-// used is the CPU time and the most memory that its processes took.
-func (i *instance) used() (cpu time.Duration, rss int64) {
+// usage is the CPU time and the most memory that its processes took.
+func (i *instance) usage() (cpu time.Duration, rss int64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	cpu, rss = i.cpu, i.rss
-	if i.managed != "" {
-		if c, r, err := Usage(i.managedPID()); err == nil {
-			i.rss = max(i.rss, r)
-			return c, i.rss
+	cpu, rss = i.earlierCPU, i.maxRSS
+	if i.processFile != "" {
+		if c, r, err := ProcessUsage(i.managedPID()); err == nil {
+			i.maxRSS = max(i.maxRSS, r)
+			return c, i.maxRSS
 		}
 		return cpu, rss
 	}
-	if i.process != nil {
-		c, r, err := Usage(i.process.Process.Pid)
+	if i.cmd != nil {
+		c, r, err := ProcessUsage(i.cmd.Process.Pid)
 		if err == nil {
 			cpu, rss = cpu+c, max(rss, r)
 		}
@@ -226,11 +226,11 @@
 	return cpu, rss
 }
 
-// tick is the kernel's unit in /proc/PID/stat: 1/100 s on all Linux platforms of Go.
-const tick = 10 * time.Millisecond
+// clockTick is the kernel's unit in /proc/PID/stat: 1/100 s on all Linux platforms of Go.
+const clockTick = 10 * time.Millisecond
 
-// Usage reads a process's CPU time and resident memory.
-func Usage(pid int) (cpu time.Duration, rss int64, err error) {
+// ProcessUsage reads a process's CPU time and resident memory.
+func ProcessUsage(pid int) (cpu time.Duration, rss int64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0, err
@@ -249,13 +249,13 @@
 			return 0, 0, err
 		}
 	}
-	return time.Duration(n[0]+n[1]) * tick, n[2] * int64(os.Getpagesize()), nil
+	return time.Duration(n[0]+n[1]) * clockTick, n[2] * int64(os.Getpagesize()), nil
 }
 
-// reserve finds an address of this machine on which nothing listens, and keeps it for this run: proxies listen so
+// reserveAddress finds an address of this machine on which nothing listens, and keeps it for this run: proxies listen so
 // that another could take the same one, and another run that begins beside this one would. What holds it is a socket
 // of the same number that no proxy uses.
-func reserve(number int) (string, io.Closer, error) {
+func reserveAddress(number int) (string, io.Closer, error) {
 	for range 50 {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.1.0.%d:0", 1+number%250))
 		if err != nil {
--- a/lab/experiment/process.go
+++ b/lab/experiment/proxyfaults.go
@@ -26,79 +26,79 @@
 	"calls-write":   {Call: sysfault.Write, Short: true},
 }
 
-// shimmed are the faults that hold at an instance, also for the processes that it starts anew.
-type shimmed struct {
-	groups []sysfault.Call // that its processes are filtered for; none: they are not
-	mu     sync.Mutex
-	shim   *sysfault.Shim // of the process that runs
-	held   map[int]sysfault.Fault
-	ends   map[int]func()
-	failed int // calls that failed in the processes before
+// syscallFaults are the faults that hold at an instance, also for the processes that it starts anew.
+type syscallFaults struct {
+	intercepted     []sysfault.Call // that its processes are filtered for; none: they are not
+	mu              sync.Mutex
+	shim            *sysfault.Shim // of the process that runs
+	active          map[int]sysfault.Fault
+	endFuncs        map[int]func()
+	earlierFailures int // calls that failed in the processes before
 }
 
 // start starts a process, under a filter where there is one.
-func (s *shimmed) start(command *exec.Cmd, seed uint64) error {
-	if len(s.groups) == 0 {
+func (s *syscallFaults) start(command *exec.Cmd, seed uint64) error {
+	if len(s.intercepted) == 0 {
 		return command.Start()
 	}
-	shim, err := sysfault.Start(command, seed, s.groups...)
+	shim, err := sysfault.Start(command, seed, s.intercepted...)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failed = s.count()
-	s.shim, s.ends = shim, map[int]func(){}
-	for order, fault := range s.held {
-		if !endsRuntime(fault.Call) {
-			s.ends[order] = shim.Begin(fault)
+	s.earlierFailures = s.failuresLocked()
+	s.shim, s.endFuncs = shim, map[int]func(){}
+	for order, fault := range s.active {
+		if !breaksStartup(fault.Call) {
+			s.endFuncs[order] = shim.Begin(fault)
 		}
 	}
 	return nil
 }
 
-// endsRuntime tells of calls without which the system's loader or the language's runtime does not start a program: they fail
+// breaksStartup tells of calls without which the system's loader or the language's runtime does not start a program: they fail
 // once the process serves.
-func endsRuntime(call sysfault.Call) bool {
+func breaksStartup(call sysfault.Call) bool {
 	return call == sysfault.Copy || call == sysfault.Control || call == sysfault.Open
 }
 
-// started has all faults hold that were kept back while the process started.
-func (s *shimmed) started() {
+// processReady has all faults hold that were kept back while the process started.
+func (s *syscallFaults) processReady() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for order, fault := range s.held {
-		if s.ends[order] == nil && s.shim != nil {
-			s.ends[order] = s.shim.Begin(fault)
+	for order, fault := range s.active {
+		if s.endFuncs[order] == nil && s.shim != nil {
+			s.endFuncs[order] = s.shim.Begin(fault)
 		}
 	}
 }
 
 // begin has a fault hold, by its place in the script.
-func (s *shimmed) begin(order int, fault sysfault.Fault) {
+func (s *syscallFaults) begin(order int, fault sysfault.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held == nil {
-		s.held = map[int]sysfault.Fault{}
+	if s.active == nil {
+		s.active = map[int]sysfault.Fault{}
 	}
-	s.held[order] = fault
+	s.active[order] = fault
 	if s.shim != nil {
-		s.ends[order] = s.shim.Begin(fault)
+		s.endFuncs[order] = s.shim.Begin(fault)
 	}
 }
 
-func (s *shimmed) end(order int) {
+func (s *syscallFaults) end(order int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.held, order)
-	if end := s.ends[order]; end != nil {
+	delete(s.active, order)
+	if end := s.endFuncs[order]; end != nil {
 		end()
 	}
 }
 
-// count is how many calls failed or were cut short so far. Its lock is held.
-func (s *shimmed) count() int {
-	sum := s.failed
+// failuresLocked is how many calls failed or were cut short so far. Its lock is held.
+func (s *syscallFaults) failuresLocked() int {
+	sum := s.earlierFailures
 	if s.shim == nil {
 		return sum
 	}
@@ -110,30 +110,30 @@
 	return sum
 }
 
-func (s *shimmed) failures() int {
+func (s *syscallFaults) failures() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.count()
+	return s.failuresLocked()
 }
 
 // earliestKill is how long after SIGTERM a process is killed at the soonest, beside the longest deadline, which counts for
 // longestDeadline at most. Source: the protocol's page.
 const (
-	earliestKill    = 700 * time.Millisecond
-	longestDeadline = 3 * time.Second
+	killMargin         = 700 * time.Millisecond
+	maxCountedDeadline = 3 * time.Second
 )
 
 // retire ends a process as at a planned restart: SIGTERM, further signals in series, and SIGKILL at the earliest. It
 // returns whether the process left by itself, in good order.
 func (i *instance) retire(longest time.Duration, random *rand.Rand) bool {
 	i.mu.Lock()
-	i.wanted = false
-	ended, command := i.ended, i.process
+	i.shouldRun = false
+	ended, command := i.exited, i.cmd
 	i.mu.Unlock()
 	if ended == nil || command == nil {
 		return true
 	}
-	kill := time.After(min(longest, longestDeadline) + earliestKill)
+	kill := time.After(min(longest, maxCountedDeadline) + killMargin)
 	i.signal(syscall.SIGTERM)
 	series := time.NewTimer(time.Duration(random.Int64N(int64(200 * time.Millisecond))))
 	defer series.Stop()
@@ -152,11 +152,11 @@
 	}
 }
 
-// frontNotices is how long clients are still sent to a process that was told to leave.
-const frontNotices = 300 * time.Millisecond
+// routingDelay is how long clients are still sent to a process that was told to leave.
+const routingDelay = 300 * time.Millisecond
 
-// crowd opens connections that say nothing, or half a line, and holds them until it is ended.
-func crowd(address string, size int, random *rand.Rand) (end func()) {
+// openIdleCrowd opens connections that say nothing, or half a line, and holds them until it is ended.
+func openIdleCrowd(address string, size int, random *rand.Rand) (end func()) {
 	stop := make(chan struct{})
 	words := []string{"", "PING\r\n", "OPEN 1 "}
 	var open sync.WaitGroup
@@ -188,17 +188,17 @@
 	}
 }
 
-// series sends SIGHUP several times while the configuration is written: torn, wrong and whole.
-func (i *instance) series(f *File, random *rand.Rand) error {
+// reloadSeries sends SIGHUP several times while the configuration is written: torn, wrong and whole.
+func (i *instance) reloadSeries(f *File, random *rand.Rand) error {
 	for range 3 + random.IntN(4) {
 		i.signal(syscall.SIGHUP)
 		time.Sleep(time.Duration(random.Int64N(int64(60 * time.Millisecond))))
-		if err := i.tear(f, random); err != nil {
+		if err := i.writeTornConfig(f, random); err != nil {
 			return err
 		}
 		i.signal(syscall.SIGHUP)
 		time.Sleep(time.Duration(random.Int64N(int64(60 * time.Millisecond))))
-		if err := i.write(f); err != nil {
+		if err := i.writeConfig(f); err != nil {
 			return err
 		}
 		i.signal(syscall.SIGHUP)
@@ -206,9 +206,9 @@
 	return nil
 }
 
-// tear leaves a configuration that was written in part.
-func (i *instance) tear(f *File, random *rand.Rand) error {
-	text, err := f.config(i)
+// writeTornConfig leaves a configuration that was written in part.
+func (i *instance) writeTornConfig(f *File, random *rand.Rand) error {
+	text, err := f.proxyConfig(i)
 	if err != nil {
 		return err
 	}
@@ -219,8 +219,8 @@
 	return os.Rename(path+".new", path)
 }
 
-// longest is the longest deadline.
-func (f *File) longest() time.Duration {
+// longestLimit is the longest deadline.
+func (f *File) longestLimit() time.Duration {
 	var most ledger.Micros
 	for _, p := range f.Product {
 		most = max(most, p.Limit.micros())
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -22,43 +22,43 @@
 	"hatchproxy/lab/sysfault"
 )
 
-// Way says who places the connections.
-type Way string
+// Placement says who places the connections.
+type Placement string
 
 const (
-	ByProxies Way = "proxies"
-	ByChance  Way = "random"   // a client picks a ready server by chance
-	ToOne     Way = "straight" // all go to one server
-	BySight   Way = "best"     // a policy that sees the true state of all servers
+	PlacementProxies Placement = "proxies"
+	PlacementRandom  Placement = "random"   // a client picks a ready server by chance
+	PlacementSingle  Placement = "straight" // all go to one server
+	PlacementBest    Placement = "best"     // a policy that sees the true state of all servers
 )
 
-// Ways are all.
-var Ways = []Way{ByProxies, ByChance, ToOne, BySight}
+// Placements are all.
+var Placements = []Placement{PlacementProxies, PlacementRandom, PlacementSingle, PlacementBest}
 
 // Result is what a run came to.
 type Result struct {
-	Experiment string             `json:"experiment"`
-	Seed       uint64             `json:"seed"`
-	Way        Way                `json:"way"`
-	Proxy      string             `json:"proxy,omitempty"`
-	Length     float64            `json:"length_s"`
-	Figures    map[string]float64 `json:"figures"`
-	Shortfalls []string           `json:"shortfalls"`
-	Breaches   []string           `json:"breaches"`
-	Crashes    []string           `json:"crashes,omitempty"`
-	Troubles   []Mark             `json:"troubles"`
-	Served     []float64          `json:"served_by_second"` // -1 where nothing was asked for
-	Arrivals   []float64          `json:"arrivals_by_second"`
-	Standing   [][]int            `json:"standing_by_second"` // by server
-	SetUp      []Quantile         `json:"set_up"`
-	Line       []Quantile         `json:"line"`
+	Experiment          string             `json:"experiment"`
+	Seed                uint64             `json:"seed"`
+	Placement           Placement          `json:"way"`
+	Proxy               string             `json:"proxy,omitempty"`
+	LengthSeconds       float64            `json:"length_s"`
+	Figures             map[string]float64 `json:"figures"`
+	Shortfalls          []string           `json:"shortfalls"`
+	Breaches            []string           `json:"breaches"`
+	Crashes             []string           `json:"crashes,omitempty"`
+	Troubles            []TroubleInterval  `json:"troubles"`
+	ServedBySecond      []float64          `json:"served_by_second"` // -1 where nothing was asked for
+	ArrivalsBySecond    []float64          `json:"arrivals_by_second"`
+	EstablishedBySecond [][]int            `json:"standing_by_second"` // by server
+	SetUpQuantiles      []Quantile         `json:"set_up"`
+	LineQuantiles       []Quantile         `json:"line"`
 }
 
-// Mark is a trouble's place in time.
-type Mark struct {
-	From float64 `json:"from_s"`
-	To   float64 `json:"to_s"`
-	Text string  `json:"text"`
+// TroubleInterval is a trouble's place in time.
+type TroubleInterval struct {
+	FromSeconds float64 `json:"from_s"`
+	ToSeconds   float64 `json:"to_s"`
+	Text        string  `json:"text"`
 }
 
 // Quantile is a point of a latency's distribution.
@@ -70,8 +70,8 @@
 // quantiles are those that are plotted and told.
 var quantiles = []float64{0.01, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999, 0.9999, 1}
 
-// figureNames are the figures of a result, each with what it tells. Those of the rules are breach.NAME.
-var figureNames = [][2]string{
+// figureDescriptions are the figures of a result, each with what it tells. Those of the rules are breach.NAME.
+var figureDescriptions = [][2]string{
 	{"served", "share of the seconds asked for that were served well, by gain"},
 	{"served-worst-10s", "the same in the worst 10 s"},
 	{"served-after", "the same from 20 s after the last trouble's end on; the whole run's last fifth if that is later"},
@@ -106,9 +106,9 @@
 	{"carried-lost", "connections from before the run that did not come up"},
 }
 
-var figureName = func() *regexp.Regexp {
+var figurePattern = func() *regexp.Regexp {
 	var forms []string
-	for _, f := range figureNames {
+	for _, f := range figureDescriptions {
 		form := strings.ReplaceAll(regexp.QuoteMeta(f[0]), "pQ", `p(50|90|99|99\.9|100)`)
 		form = strings.ReplaceAll(form, "RULE", "[a-z-]+")
 		forms = append(forms, form)
@@ -117,67 +117,67 @@
 }()
 
 // Figures lists the figures with what each tells.
-func Figures() [][2]string { return figureNames }
-
-// Order is what a run is to be.
-type Order struct {
-	Seed   uint64
-	Way    Way
-	Binary string // of the proxies
-	Agent  string // of the agents, where the experiment has any
-	Folder string // for their files, which stay there
-	Quick  bool
-	Tell   func(format string, a ...any) // progress
+func Figures() [][2]string { return figureDescriptions }
+
+// RunOptions is what a run is to be.
+type RunOptions struct {
+	Seed        uint64
+	Placement   Placement
+	ProxyBinary string // of the proxies
+	AgentBinary string // of the agents, where the experiment has any
+	Dir         string // for their files, which stay there
+	Quick       bool
+	Logf        func(format string, a ...any) // progress
 }
 
-// quickest is how long a quick run may be, so that all of it ends within a minute.
-const quickest = 40 * ledger.Second
+// maxQuickLength is how long a quick run may be, so that all of it ends within a minute.
+const maxQuickLength = 40 * ledger.Second
 
-// winding is how long is waited at the end for what is still under way, beside the longest hard limit.
-const winding = 1200 * ledger.Millisecond
+// finishWait is how long is waited at the end for what is still under way, beside the longest hard limit.
+const finishWait = 1200 * ledger.Millisecond
 
 // run is one under way.
 type run struct {
 	*File
-	Order
-	book    *ledger.Book
-	fleet   *fleet.Fleet
-	proxies []*instance
-	agents  *agents // nil without
-	clients *load.Clients
-	tally   *load.Tally
-	length  ledger.Micros
-	steps   []fleet.Step
-	crowds  map[[2]int]func() // by step and proxy: what ends them
-	ways    *ways             // between proxies and servers; nil where none is in trouble
-	busy    sync.WaitGroup    // troubles of proxies under way
-	marks   []Mark
-	faultMu sync.Mutex
-	fault   error
+	RunOptions
+	eventLog         *ledger.Book
+	fleet            *fleet.Fleet
+	proxies          []*instance
+	agents           *agents // nil without
+	clients          *load.Clients
+	tally            *load.Tally
+	length           ledger.Micros
+	steps            []fleet.Step
+	stopCrowds       map[[2]int]func() // by step and proxy: what ends them
+	links            *proxyLinks       // between proxies and servers; nil where none is in trouble
+	background       sync.WaitGroup    // troubles of proxies under way
+	troubleIntervals []TroubleInterval
+	errMu            sync.Mutex
+	err              error
 }
 
 // Run plays an experiment once.
-func (f *File) Run(ctx context.Context, o Order) (*Result, error) {
-	r := &run{File: f, Order: o, book: ledger.Open(), length: f.Length.micros(), crowds: map[[2]int]func(){}}
+func (f *File) Run(ctx context.Context, o RunOptions) (*Result, error) {
+	r := &run{File: f, RunOptions: o, eventLog: ledger.Open(), length: f.Length.micros(), stopCrowds: map[[2]int]func(){}}
 	if o.Quick {
-		r.length = min(r.length, quickest)
+		r.length = min(r.length, maxQuickLength)
 	}
 	var err error
-	if r.steps, err = fleet.Draw(f.script(), f.counts, o.Seed); err != nil {
+	if r.steps, err = fleet.Draw(f.troubleList(), f.targetCount, o.Seed); err != nil {
 		return nil, err
 	}
-	if r.fleet, err = fleet.Start(r.book, f.Plan(), o.Seed); err != nil {
+	if r.fleet, err = fleet.Start(r.eventLog, f.Plan(), o.Seed); err != nil {
 		return nil, fmt.Errorf("the fleet: %w", err)
 	}
 	defer r.fleet.Stop()
-	if o.Way == ByProxies {
+	if o.Placement == PlacementProxies {
 		defer r.stop()
 		if err := r.startProxies(ctx); err != nil {
 			return nil, err
 		}
 	}
 	r.tally = load.NewTally(r.length)
-	r.clients = load.NewClients(r.book, r.tally, f.products(), r.route(), f.habits(), r.length, o.Seed)
+	r.clients = load.NewClients(r.eventLog, r.tally, f.products(), r.route(), f.clientHabits(), r.length, o.Seed)
 	return r.play(ctx)
 }
 
@@ -188,18 +188,18 @@
 		if err != nil {
 			return err
 		}
-		address, held, err := reserve(n)
+		address, held, err := reserveAddress(n)
 		if err != nil {
 			return err
 		}
-		i := &instance{number: n, zone: zone, address: address, folder: r.Folder, binary: r.Binary, front: front, held: held,
-			seed: r.Seed*1_000_003 + uint64(n), calls: shimmed{groups: r.callGroups()}}
-		if err := i.write(r.File); err != nil {
+		i := &instance{number: n, zone: zone, address: address, dir: r.Dir, binary: r.ProxyBinary, discovery: front, reservation: held,
+			seed: r.Seed*1_000_003 + uint64(n), syscalls: syscallFaults{intercepted: r.interceptedCalls()}}
+		if err := i.writeConfig(r.File); err != nil {
 			return err
 		}
 		r.proxies = append(r.proxies, i)
 	}
-	if err := r.layWays(); err != nil {
+	if err := r.startLinks(); err != nil {
 		return err
 	}
 	if r.Control.Agents > 0 {
@@ -220,35 +220,35 @@
 }
 
 func (r *run) stop() {
-	r.busy.Wait()
+	r.background.Wait()
 	if r.agents != nil {
 		r.agents.stop()
 	}
 	var ending sync.WaitGroup
 	for _, i := range r.proxies {
 		ending.Go(func() {
-			i.end(syscall.SIGKILL)
-			_ = i.held.Close()
+			i.terminate(syscall.SIGKILL)
+			_ = i.reservation.Close()
 		})
 	}
 	ending.Wait()
-	if r.ways != nil {
-		r.ways.net.Close()
+	if r.links != nil {
+		r.links.net.Close()
 	}
 }
 
 // route says where clients connect.
 func (r *run) route() load.Route {
-	switch r.Way {
-	case ByChance:
+	switch r.Placement {
+	case PlacementRandom:
 		return func(rng *rand.Rand, zone int, _ uint64) (string, int, bool) {
 			return r.fleet.RandomAddress(rng, zone), ledger.None, true
 		}
-	case ToOne:
+	case PlacementSingle:
 		return func(_ *rand.Rand, zone int, _ uint64) (string, int, bool) {
 			return r.fleet.FirstAddress(zone), ledger.None, true
 		}
-	case BySight:
+	case PlacementBest:
 		return func(_ *rand.Rand, zone int, group uint64) (string, int, bool) {
 			address, found := r.fleet.BestAddress(zone, group)
 			return address, ledger.None, found
@@ -258,7 +258,7 @@
 		var own, any []*instance
 		for _, i := range r.proxies {
 			i.mu.Lock()
-			if i.open {
+			if i.ready {
 				any = append(any, i)
 				if i.zone == zone {
 					own = append(own, i)
@@ -280,13 +280,13 @@
 func (r *run) play(ctx context.Context) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	result := &Result{Experiment: r.Name, Seed: r.Seed, Way: r.Way, Length: r.length.Span().Seconds(), Figures: map[string]float64{}}
-	if r.Way == ByProxies {
-		result.Proxy = filepath.Base(r.Binary)
+	result := &Result{Experiment: r.Name, Seed: r.Seed, Placement: r.Placement, LengthSeconds: r.length.Span().Seconds(), Figures: map[string]float64{}}
+	if r.Placement == PlacementProxies {
+		result.Proxy = filepath.Base(r.ProxyBinary)
 	}
 	lost := 0
 	if n := r.Load.Carried; n > 0 {
-		r.tell("carrying %d connections over", n)
+		r.logf("carrying %d connections over", n)
 		crowd := load.Crowd(n, 0, 0, r.Seed)
 		for i := range crowd {
 			crowd[i].Life = r.products()[0].Life * 4
@@ -294,72 +294,72 @@
 		lost = r.clients.Carry(ctx, crowd, func(i int) string { return r.fleet.Servers[i%len(r.fleet.Servers)].UID })
 	}
 	arrivals := r.arrivals(r.length, r.Seed)
-	_, labBefore := r.cpu()
-	proxiesBefore, _ := r.cpu()
+	_, labBefore := r.cpuUsed()
+	proxiesBefore, _ := r.cpuUsed()
 	began := time.Now()
 	go r.clients.Play(ctx, arrivals)
 	start := r.clients.Start()
 	var scripted sync.WaitGroup
-	scripted.Go(func() { r.troubles(ctx, start) })
+	scripted.Go(func() { r.playTroubles(ctx, start) })
 	if r.agents != nil {
-		scripted.Go(func() { r.settle(ctx) })
+		scripted.Go(func() { r.awaitSettled(ctx) })
 	}
-	if r.Way == BySight {
-		go r.relieve(ctx)
+	if r.Placement == PlacementBest {
+		go r.rebalance(ctx)
 	}
 	standingMost := 0
 	for second := 1; ; second++ {
 		at := start + min(ledger.Micros(second)*ledger.Second, r.length)
 		select {
-		case <-time.After((at - r.book.Now()).Span()):
+		case <-time.After((at - r.eventLog.Now()).Span()):
 		case <-ctx.Done():
 			scripted.Wait()
 			r.clients.Wait()
 			return nil, ctx.Err()
 		}
 		standing := r.fleet.Standing()
-		result.Standing = append(result.Standing, standing)
+		result.EstablishedBySecond = append(result.EstablishedBySecond, standing)
 		sum := 0
 		for _, n := range standing {
 			sum += n
 		}
 		standingMost = max(standingMost, sum)
 		if second%5 == 0 {
-			r.tell("%3d of %.0f s, %d standing", second, r.length.Span().Seconds(), sum)
+			r.logf("%3d of %.0f s, %d standing", second, r.length.Span().Seconds(), sum)
 		}
 		if at >= start+r.length {
 			break
 		}
 	}
-	proxiesAfter, labAfter := r.cpu()
+	proxiesAfter, labAfter := r.cpuUsed()
 	took := time.Since(began).Seconds()
 	longest := ledger.Micros(0)
 	for _, p := range r.products() {
 		longest = max(longest, p.Limit)
 	}
-	end := r.book.Now()
+	end := r.eventLog.Now()
 	scripted.Wait()
-	r.busy.Wait()
+	r.background.Wait()
 	r.clients.Wait()
 	if r.agents != nil {
-		r.judgeAgents(ctx)
+		r.checkAgents(ctx)
 	}
 	// What is still under way at servers ends, so that the record is whole.
-	time.Sleep(winding.Span() / 4)
-	if r.fault != nil {
-		return nil, r.fault
+	time.Sleep(finishWait.Span() / 4)
+	if r.err != nil {
+		return nil, r.err
 	}
-	breaches := r.judge(end)
-	result.Troubles = r.marks
-	r.fill(result, breaches, standingMost, lost)
+	breaches := r.checkRules(end)
+	result.Troubles = r.troubleIntervals
+	r.fillFigures(result, breaches, standingMost, lost)
 	result.Figures["proxy-cpu"] = (proxiesAfter - proxiesBefore).Seconds() / took
 	result.Figures["lab-cpu"] = (labAfter - labBefore).Seconds() / took
-	r.hold(result)
+	r.checkExpectations(result)
 	return result, nil
 }
 
-// relieve has the policy that sees all move connections off full servers.
-func (r *run) relieve(ctx context.Context) {
+// rebalance has the policy that sees all move connections off full servers.
+func (r *run) rebalance(ctx context.Context) {
 	for {
 		select {
 		case <-time.After(300 * time.Millisecond):
@@ -370,34 +370,34 @@
 	}
 }
 
-func (r *run) tell(format string, a ...any) {
-	if r.Tell != nil {
-		r.Tell(format, a...)
+func (r *run) logf(format string, a ...any) {
+	if r.Logf != nil {
+		r.Logf(format, a...)
 	}
 }
 
-// cpu is what the proxies and this program have used.
-func (r *run) cpu() (proxies, lab time.Duration) {
+// cpuUsed is what the proxies and this program have used.
+func (r *run) cpuUsed() (proxies, lab time.Duration) {
 	for _, i := range r.proxies {
-		c, _ := i.used()
+		c, _ := i.usage()
 		proxies += c
 	}
-	lab, _, _ = Usage(os.Getpid())
+	lab, _, _ = ProcessUsage(os.Getpid())
 	return proxies, lab
 }
 
-// judge has the record judged; end is when the clients left.
-func (r *run) judge(end ledger.Micros) []ledger.Breach {
-	if r.Way != ByProxies {
+// checkRules has the record judged; end is when the clients left.
+func (r *run) checkRules(end ledger.Micros) []ledger.Breach {
+	if r.Placement != PlacementProxies {
 		return nil // there is nobody to be judged
 	}
-	return ledger.Judge(r.book.Events(), r.terms(end))
+	return ledger.Judge(r.eventLog.Events(), r.ruleParameters(end))
 }
 
-func (f *File) terms(end ledger.Micros) ledger.Terms {
+func (f *File) ruleParameters(end ledger.Micros) ledger.Terms {
 	terms := ledger.Terms{Grace: f.Proxies.Grace.micros(), Dispatches: f.Proxies.Dispatches, End: end}
 	for _, p := range f.Product {
-		terms.Products = append(terms.Products, ledger.Product{Name: p.Name, Repeat: repeats[p.Repeat], Reach: reaches[p.Reach], Window: p.Window.micros()})
+		terms.Products = append(terms.Products, ledger.Product{Name: p.Name, Repeat: idempotencyByName[p.Repeat], Reach: dedupScopeByName[p.Reach], Window: p.Window.micros()})
 	}
 	for i := range f.Fleet.Servers {
 		cell := 0
@@ -409,8 +409,8 @@
 	return terms
 }
 
-// troubles plays the script.
-func (r *run) troubles(ctx context.Context, start ledger.Micros) {
+// playTroubles plays the script.
+func (r *run) playTroubles(ctx context.Context, start ledger.Micros) {
 	type moment struct {
 		at   ledger.Micros
 		step fleet.Step
@@ -422,50 +422,50 @@
 			continue
 		}
 		moments = append(moments, moment{s.At, s, false}, moment{min(s.At+s.For, r.length), s, true})
-		r.marks = append(r.marks, Mark{s.At.Span().Seconds(), min(s.At+s.For, r.length).Span().Seconds(), s.String()})
+		r.troubleIntervals = append(r.troubleIntervals, TroubleInterval{s.At.Span().Seconds(), min(s.At+s.For, r.length).Span().Seconds(), s.String()})
 	}
 	slices.SortStableFunc(moments, func(a, b moment) int { return int(a.at - b.at) })
 	for _, m := range moments {
 		select {
-		case <-time.After((start + m.at - r.book.Now()).Span()):
+		case <-time.After((start + m.at - r.eventLog.Now()).Span()):
 		case <-ctx.Done():
 			return
 		}
 		var err error
 		switch {
 		case fleet.OfAgents(m.step.Kind):
-			r.toAgents(ctx, m.step, m.ends)
+			r.applyToAgents(ctx, m.step, m.ends)
 		case fleet.OfProxies(m.step.Kind):
-			err = r.toProxies(m.step, m.ends)
+			err = r.applyToProxies(m.step, m.ends)
 		case m.ends:
 			err = r.fleet.End(m.step)
 		default:
 			err = r.fleet.Begin(m.step)
 		}
 		if !m.ends {
-			r.tell("%s", m.step)
+			r.logf("%s", m.step)
 		}
-		r.failed(err)
+		r.recordError(err)
 	}
 }
 
-func (r *run) failed(err error) {
+func (r *run) recordError(err error) {
 	if err == nil {
 		return
 	}
-	r.faultMu.Lock()
-	defer r.faultMu.Unlock()
-	if r.fault == nil {
-		r.fault = err
+	r.errMu.Lock()
+	defer r.errMu.Unlock()
+	if r.err == nil {
+		r.err = err
 	}
 }
 
-func (r *run) noteProxy(k ledger.Kind, n int) {
-	r.book.Write(ledger.Event{Kind: k, Proxy: n, Server: ledger.None, Product: ledger.None})
+func (r *run) recordProxyEvent(k ledger.Kind, n int) {
+	r.eventLog.Write(ledger.Event{Kind: k, Proxy: n, Server: ledger.None, Product: ledger.None})
 }
 
-// toProxies does a step to proxies.
-func (r *run) toProxies(s fleet.Step, ends bool) error {
+// applyToProxies does a step to proxies.
+func (r *run) applyToProxies(s fleet.Step, ends bool) error {
 	for _, n := range s.Servers {
 		if n >= len(r.proxies) {
 			continue // there are none in this run
@@ -473,81 +473,81 @@
 		i := r.proxies[n]
 		switch {
 		case s.Kind == "proxy-stop" && !ends:
-			r.noteProxy(ledger.ProxyStopped, n)
+			r.recordProxyEvent(ledger.ProxyStopped, n)
 			i.signal(syscall.SIGSTOP)
 		case s.Kind == "proxy-stop":
 			i.signal(syscall.SIGCONT)
-			r.noteProxy(ledger.ProxyWoken, n)
+			r.recordProxyEvent(ledger.ProxyWoken, n)
 		case s.Kind == "proxy-reload" && !ends:
 			i.signal(syscall.SIGHUP)
 		case s.Kind == "list-moved" && !ends:
-			if err := i.front.Move(1500 * time.Millisecond); err != nil {
+			if err := i.discovery.Move(1500 * time.Millisecond); err != nil {
 				return err
 			}
-			if err := i.write(r.File); err != nil {
+			if err := i.writeConfig(r.File); err != nil {
 				return err
 			}
 			i.signal(syscall.SIGHUP)
 		case strings.HasPrefix(s.Kind, "way-"):
-			r.ways.suffer(r, s, n, ends)
+			r.links.applyTrouble(r, s, n, ends)
 		case strings.HasPrefix(s.Kind, "calls-") && !ends:
 			fault := callFaults[s.Kind]
 			fault.Chance = s.Size
-			i.calls.begin(s.Order, fault)
+			i.syscalls.begin(s.Order, fault)
 		case strings.HasPrefix(s.Kind, "calls-"):
-			i.calls.end(s.Order)
+			i.syscalls.end(s.Order)
 		case s.Kind == "proxy-crowd" && !ends:
-			r.crowds[[2]int{s.Order, n}] = crowd(i.address, int(s.Size), r.random(s, n))
+			r.stopCrowds[[2]int{s.Order, n}] = openIdleCrowd(i.address, int(s.Size), r.newRand(s, n))
 		case s.Kind == "proxy-crowd":
-			if end := r.crowds[[2]int{s.Order, n}]; end != nil {
-				r.busy.Go(end)
+			if end := r.stopCrowds[[2]int{s.Order, n}]; end != nil {
+				r.background.Go(end)
 			}
 		case s.Kind == "proxy-series" && !ends:
-			r.busy.Go(func() { r.failed(i.series(r.File, r.random(s, n))) })
+			r.background.Go(func() { r.recordError(i.reloadSeries(r.File, r.newRand(s, n))) })
 		case s.Kind == "proxy-series":
 		case s.Kind == "proxy-retire" && !ends:
-			time.AfterFunc(frontNotices, func() {
+			time.AfterFunc(routingDelay, func() {
 				i.mu.Lock()
 				defer i.mu.Unlock()
-				i.open = i.open && i.wanted // it may be back already
+				i.ready = i.ready && i.shouldRun // it may be back already
 			})
-			r.busy.Go(func() {
-				if !i.retire(r.longest(), r.random(s, n)) {
+			r.background.Go(func() {
+				if !i.retire(r.longestLimit(), r.newRand(s, n)) {
 					i.mu.Lock()
-					i.late++
+					i.uncleanExits++
 					i.mu.Unlock()
 				}
 			})
 		case s.Kind == "proxy-kill" && !ends:
-			r.noteProxy(ledger.ProxyKilled, n)
+			r.recordProxyEvent(ledger.ProxyKilled, n)
 			i.mu.Lock()
-			i.open = false
+			i.ready = false
 			i.mu.Unlock()
-			i.end(syscall.SIGKILL)
+			i.terminate(syscall.SIGKILL)
 		case s.Kind == "proxy-leave" && !ends:
 			i.mu.Lock()
-			i.open = false
+			i.ready = false
 			i.mu.Unlock()
-			r.busy.Go(func() { i.end(syscall.SIGTERM) })
+			r.background.Go(func() { i.terminate(syscall.SIGTERM) })
 		case s.Kind == "proxy-kill", s.Kind == "proxy-leave", s.Kind == "proxy-retire":
 			i.mu.Lock()
-			ended := i.ended
+			ended := i.exited
 			i.mu.Unlock()
-			r.busy.Go(func() {
+			r.background.Go(func() {
 				<-ended
 				if err := i.start(); err != nil {
-					r.failed(err)
+					r.recordError(err)
 					return
 				}
-				r.noteProxy(ledger.ProxyBack, n)
+				r.recordProxyEvent(ledger.ProxyBack, n)
 			})
 		}
 	}
 	return nil
 }
 
-// callGroups are the system calls that the script makes fail.
-func (r *run) callGroups() (groups []sysfault.Call) {
+// interceptedCalls are the system calls that the script makes fail.
+func (r *run) interceptedCalls() (groups []sysfault.Call) {
 	for _, s := range r.steps {
 		if fault, is := callFaults[s.Kind]; is && !slices.Contains(groups, fault.Call) {
 			groups = append(groups, fault.Call)
@@ -556,13 +556,13 @@
 	return groups
 }
 
-// random is a source of chance for a step at a proxy.
-func (r *run) random(s fleet.Step, proxy int) *rand.Rand {
+// newRand is a source of chance for a step at a proxy.
+func (r *run) newRand(s fleet.Step, proxy int) *rand.Rand {
 	return rand.New(rand.NewPCG(r.Seed, uint64(s.Order)<<16|uint64(proxy)))
 }
 
-// fill sets the figures.
-func (r *run) fill(result *Result, breaches []ledger.Breach, standing, lost int) {
+// fillFigures sets the figures.
+func (r *run) fillFigures(result *Result, breaches []ledger.Breach, standing, lost int) {
 	t, f := r.tally, result.Figures
 	f["served"], f["served-worst-10s"] = t.Share(0, r.length), t.WorstWindow(10)
 	last := ledger.Micros(0)
@@ -570,14 +570,14 @@
 		last = max(last, min(s.At+s.For, r.length))
 	}
 	f["served-after"] = t.Share(max(min(last+20*ledger.Second, r.length*4/5), 0), r.length)
-	result.Served = t.BySecond()
-	f["recovered-s"] = recovered(result.Served, int((last+ledger.Second-1)/ledger.Second))
-	for i, x := range result.Served {
+	result.ServedBySecond = t.BySecond()
+	f["recovered-s"] = recoverySeconds(result.ServedBySecond, int((last+ledger.Second-1)/ledger.Second))
+	for i, x := range result.ServedBySecond {
 		if math.IsNaN(x) {
-			result.Served[i] = -1
+			result.ServedBySecond[i] = -1
 		}
 	}
-	result.Arrivals = t.Arrivals()
+	result.ArrivalsBySecond = t.Arrivals()
 	asks, ups := float64(t.Asks.Load()), float64(t.Ups.Load())
 	f["asks"], f["ups"], f["busy"], f["failed"] = asks, ups, float64(t.Busy.Load()), float64(t.Failed.Load())
 	f["nothing"], f["refused"], f["retries"] = float64(t.Nothing.Load()), float64(t.Refused.Load()), float64(t.Retries.Load())
@@ -591,8 +591,8 @@
 		}
 	}
 	for _, q := range quantiles {
-		result.SetUp = append(result.SetUp, Quantile{q, float64(t.SetUp.At(q)) / 1000})
-		result.Line = append(result.Line, Quantile{q, float64(t.Line.At(q)) / 1000})
+		result.SetUpQuantiles = append(result.SetUpQuantiles, Quantile{q, float64(t.SetUp.At(q)) / 1000})
+		result.LineQuantiles = append(result.LineQuantiles, Quantile{q, float64(t.Line.At(q)) / 1000})
 	}
 	f["answers-over-limit"] = float64(t.Answer.Over(ledger.Second))
 	f["breaches"], f["tipped"] = float64(len(breaches)), float64(r.fleet.Tipped())
@@ -601,7 +601,7 @@
 	}
 	for _, b := range breaches {
 		f["breach."+string(b.Rule)]++
-		if len(result.Breaches) < mostBreaches {
+		if len(result.Breaches) < maxReportedBreaches {
 			result.Breaches = append(result.Breaches, b.String())
 		}
 	}
@@ -609,25 +609,25 @@
 	for _, i := range r.proxies {
 		i.mu.Lock()
 		f["crashes"] += float64(i.crashes)
-		f["late-ends"] += float64(i.late)
-		f["calls-failed"] += float64(i.calls.failures())
-		result.Crashes = append(result.Crashes, i.crashed...)
+		f["late-ends"] += float64(i.uncleanExits)
+		f["calls-failed"] += float64(i.syscalls.failures())
+		result.Crashes = append(result.Crashes, i.crashReports...)
 		i.mu.Unlock()
-		_, rss := i.used()
+		_, rss := i.usage()
 		f["proxy-mb"] = max(f["proxy-mb"], float64(rss)/(1<<20))
 	}
 	if r.agents != nil {
-		r.agents.fill(f)
+		r.agents.fillFigures(f)
 	}
 	f["standing-max"], f["carried-lost"] = float64(standing), float64(lost)
 	maps.DeleteFunc(f, func(_ string, x float64) bool { return math.IsNaN(x) }) // a share of nothing was not seen
 }
 
-// mostBreaches are told with their evidence; all are counted.
-const mostBreaches = 50
+// maxReportedBreaches are told with their evidence; all are counted.
+const maxReportedBreaches = 50
 
-// recovered is how many seconds after a second it takes until 9 tenths are served for 3 s running.
-func recovered(served []float64, from int) float64 {
+// recoverySeconds is how many seconds after a second it takes until 9 tenths are served for 3 s running.
+func recoverySeconds(served []float64, from int) float64 {
 	for i := from; i+3 <= len(served); i++ {
 		good := true
 		for _, x := range served[i : i+3] {
@@ -640,10 +640,10 @@
 	return -1
 }
 
-// hold holds the figures beside what the file expects.
-func (r *run) hold(result *Result) {
+// checkExpectations holds the figures beside what the file expects.
+func (r *run) checkExpectations(result *Result) {
 	result.Shortfalls = []string{}
-	if result.Way != ByProxies {
+	if result.Placement != PlacementProxies {
 		return // a baseline owes nothing
 	}
 	if result.Figures["breaches"] > 0 {
@@ -664,12 +664,12 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		l, _ := readLimit(r.Expect[name]) // it was checked when the file was read
+		l, _ := parseBound(r.Expect[name]) // it was checked when the file was read
 		x, known := result.Figures[name]
 		if !known {
-			result.Shortfalls = append(result.Shortfalls, fmt.Sprintf("%s: %s was not seen, wanted %s", r.places.At("expect."+name), name, r.Expect[name]))
-		} else if !l.holds(x) {
-			result.Shortfalls = append(result.Shortfalls, fmt.Sprintf("%s: %s is %.4g, wanted %s", r.places.At("expect."+name), name, x, r.Expect[name]))
+			result.Shortfalls = append(result.Shortfalls, fmt.Sprintf("%s: %s was not seen, wanted %s", r.positions.At("expect."+name), name, r.Expect[name]))
+		} else if !l.isMetBy(x) {
+			result.Shortfalls = append(result.Shortfalls, fmt.Sprintf("%s: %s is %.4g, wanted %s", r.positions.At("expect."+name), name, x, r.Expect[name]))
 		}
 	}
 }
--- a/lab/soak/play_test.go
+++ b/lab/soak/play_test.go
@@ -14,8 +14,8 @@
 	"hatchproxy/lab/soak"
 )
 
-// soakSeeds are what CI plays, some ten seconds each, one after the other and beside nothing else.
-var soakSeeds = []uint64{2, 5, 6, 9, 12, 15}
+// ciSeeds are what CI plays, some ten seconds each, one after the other and beside nothing else.
+var ciSeeds = []uint64{2, 5, 6, 9, 12, 15}
 
 // Drawn faults of system calls, processes, clients, servers and discovery, overlapping in time, break no rule and end no
 // process. `hatchlab soak` plays more and larger ones.
@@ -26,14 +26,14 @@
 	binary := filepath.Join(t.TempDir(), "hatchproxy")
 	out, err := exec.Command("go", "build", "-o", binary, "../../cmd/hatchproxy").CombinedOutput()
 	require.NoError(t, err, string(out))
-	for _, seed := range soakSeeds {
+	for _, seed := range ciSeeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			drawn, err := soak.Draw(seed, soak.Short)
+			drawn, err := soak.Generate(seed, soak.Short)
 			require.NoError(t, err)
-			result, err := drawn.File.Run(t.Context(), experiment.Order{Seed: seed, Way: experiment.ByProxies, Binary: binary, Folder: t.TempDir()})
+			result, err := drawn.Experiment.Run(t.Context(), experiment.RunOptions{Seed: seed, Placement: experiment.PlacementProxies, ProxyBinary: binary, Dir: t.TempDir()})
 			require.NoError(t, err)
-			t.Logf("%d proxies, %g requests, %g calls failed; %s", drawn.File.Proxies.Count, result.Figures["asks"],
-				result.Figures["calls-failed"], strings.Join(drawn.Kinds, " "))
+			t.Logf("%d proxies, %g requests, %g calls failed; %s", drawn.Experiment.Proxies.Count, result.Figures["asks"],
+				result.Figures["calls-failed"], strings.Join(drawn.FaultKinds, " "))
 			require.Empty(t, result.Shortfalls, "%s\n%s", strings.Join(result.Breaches, "\n"), strings.Join(result.Crashes, "\n"))
 		})
 	}
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -11,15 +11,15 @@
 func TestOneSeedDrawsOneScheduleThatCanBePlayedAgain(t *testing.T) {
 	kinds := map[string]bool{}
 	for seed := range uint64(200) {
-		first, err := soak.Draw(seed, soak.Full)
+		first, err := soak.Generate(seed, soak.Full)
 		require.NoError(t, err, "seed %d", seed)
-		again, err := soak.Draw(seed, soak.Full)
+		again, err := soak.Generate(seed, soak.Full)
 		require.NoError(t, err)
-		require.Equal(t, first.Text, again.Text)
-		require.GreaterOrEqual(t, first.File.Proxies.Count, soak.Full.Least)
-		require.LessOrEqual(t, first.File.Proxies.Count, soak.Full.Most)
-		require.NotEmpty(t, first.Kinds)
-		for _, kind := range first.Kinds {
+		require.Equal(t, first.TOML, again.TOML)
+		require.GreaterOrEqual(t, first.Experiment.Proxies.Count, soak.Full.MinProxies)
+		require.LessOrEqual(t, first.Experiment.Proxies.Count, soak.Full.MaxProxies)
+		require.NotEmpty(t, first.FaultKinds)
+		for _, kind := range first.FaultKinds {
 			kinds[kind] = true
 		}
 	}
