--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -1,4 +1,5 @@
-// Package report shows what runs came to: a summary for the terminal, and one page that needs nothing beside it.
+// Package report presents the results of experiment runs: as a summary for the terminal and as one self-contained HTML
+// page with SVG plots.
 package report
 
 import (
@@ -17,7 +18,8 @@
 	"hatchproxy/lab/experiment"
 )
 
-// WriteSummary writes a result down for a terminal.
+// WriteSummary writes a result as a few lines of text, with ANSI colours if colour is set. It shows the first three rule
+// breaches and the number of the others.
 func WriteSummary(w io.Writer, r *experiment.Result, colour bool) {
 	f := r.Figures
 	good, bad, plain := "", "", ""
@@ -26,11 +28,11 @@
 	}
 	fmt.Fprintf(w, "%s, seed %d, by %s %s\n", r.Experiment, r.Seed, r.Placement, r.Proxy)
 	fmt.Fprintf(w, "  served %.3f (worst 10 s %.3f, after the troubles %.3f)  %s\n", f["served"], f["served-worst-10s"], f["served-after"], Sparkline(r.ServedBySecond))
-	fmt.Fprintf(w, "  asked %.0f  up %.0f  pushed back %.0f  failed %.0f  no answer %.0f  refused %.0f  moved %.0f  broken %.0f\n",
+	fmt.Fprintf(w, "  asked %.0f  up %.0f  busy %.0f  failed %.0f  no answer %.0f  refused %.0f  moved %.0f  broken %.0f\n",
 		f["asks"], f["ups"], f["busy"], f["failed"], f["nothing"], f["refused"], f["moves"], f["breaks"])
 	fmt.Fprintf(w, "  set-up ms p50 %.1f p99 %.1f p99.9 %.1f   line ms p50 %.1f p99 %.1f p99.9 %.1f\n",
 		f["set-up-p50"], f["set-up-p99"], f["set-up-p99.9"], f["line-p50"], f["line-p99"], f["line-p99.9"])
-	fmt.Fprintf(w, "  standing at most %.0f  proxies' cores %.2f  this program's %.2f  own lateness ms p99.9 %.1f, most %.1f\n",
+	fmt.Fprintf(w, "  established at most %.0f  proxies' cores %.2f  hatchlab's cores %.2f  arrivals sent late by ms p99.9 %.1f, max %.1f\n",
 		f["standing-max"], f["proxy-cpu"], f["lab-cpu"], f["late-arrival-p99.9"], f["late-arrival-p100"])
 	for _, b := range r.Breaches[:min(len(r.Breaches), 3)] {
 		fmt.Fprintf(w, "  %sBROKEN%s %s\n", bad, plain, strings.ReplaceAll(b, "\n", "\n  "))
@@ -46,7 +48,8 @@
 	}
 }
 
-// Sparkline draws a row of shares as one line of blocks; what is no share is a space.
+// Sparkline returns shares between 0 and 1 as a line of block characters. Larger values are drawn as 1; a negative value or
+// NaN, as for a second without requests, is a space.
 func Sparkline(shares []float64) string {
 	blocks := []rune("▁▂▃▄▅▆▇█")
 	var line []rune
@@ -60,6 +63,7 @@
 	return string(line)
 }
 
+// pageTemplate is the HTML page that WriteHTML fills in.
 var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><meta name="viewport" content="width=device-width">
 <title>{{.Title}}</title>
@@ -73,29 +77,30 @@
 {{if .Table}}<table><tr>{{range .Head}}<th>{{.}}</th>{{end}}</tr>
 {{range .Table}}<tr>{{range .}}<td>{{.}}</td>{{end}}</tr>{{end}}</table>{{end}}
 {{range .Runs}}<h2>{{.Name}}</h2>
-{{if .Short}}<ul class="bad">{{range .Short}}<li>{{.}}</li>{{end}}</ul>{{else if .Judged}}<p class="good">All that was expected held.</p>{{end}}
+{{if .Shortfalls}}<ul class="bad">{{range .Shortfalls}}<li>{{.}}</li>{{end}}</ul>{{else if .Judged}}<p class="good">All expectations were met.</p>{{end}}
 {{range .Plots}}{{.}}{{end}}
 {{if .Breaches}}<h3>Broken rules</h3>{{range .Breaches}}<pre>{{.}}</pre>{{end}}{{end}}
 {{end}}</html>
 `))
 
-// tableFigures are the figures of the page's table.
+// tableFigures are the figures in the table of the HTML page.
 var tableFigures = []string{"served", "served-worst-10s", "served-after", "recovered-s", "asks", "busy", "failed", "nothing", "moves-share",
 	"set-up-p50", "set-up-p99", "line-p50", "line-p99", "breaches", "tipped", "proxy-cpu", "proxy-mb", "lab-cpu", "late-arrival-p100"}
 
-// WriteHTML writes results down as one page. Costs, where there are any, are a table of their own.
+// WriteHTML writes results as one HTML page: a table of figures with a column for each run, then plots, missed expectations
+// and rule breaches of each run. Costs are further rows of the table.
 func WriteHTML(w io.Writer, title, about string, results []*experiment.Result, costs []*experiment.Cost) error {
-	type part struct {
-		Name            string
-		Judged          bool
-		Short, Breaches []string
-		Plots           []template.HTML
+	type runSection struct {
+		Name                 string
+		Judged               bool // expectations were checked: only for runs through proxies
+		Shortfalls, Breaches []string
+		Plots                []template.HTML
 	}
 	data := struct {
 		Title, About string
 		Head         []string
 		Table        [][]string
-		Runs         []part
+		Runs         []runSection
 	}{Title: title, About: about, Head: []string{"figure"}}
 	for _, r := range results {
 		data.Head = append(data.Head, fmt.Sprintf("%s %s, seed %d", r.Placement, r.Proxy, r.Seed))
@@ -108,27 +113,28 @@
 		data.Table = append(data.Table, row)
 	}
 	for _, c := range costs {
-		data.Table = append(data.Table, append([]string{fmt.Sprintf("cost at %d standing, beside a bare relay", c.Connections)}, c.Summary()))
+		data.Table = append(data.Table, append([]string{fmt.Sprintf("cost at %d connections, proxy/bare relay=ratio", c.Connections)}, c.Summary()))
 	}
 	for _, r := range results {
-		p := part{Name: fmt.Sprintf("%s, seed %d, by %s %s", r.Experiment, r.Seed, r.Placement, r.Proxy), Judged: r.Placement == experiment.PlacementProxies,
-			Short: r.Shortfalls, Breaches: r.Breaches}
+		section := runSection{Name: fmt.Sprintf("%s, seed %d, by %s %s", r.Experiment, r.Seed, r.Placement, r.Proxy), Judged: r.Placement == experiment.PlacementProxies,
+			Shortfalls: r.Shortfalls, Breaches: r.Breaches}
 		for _, draw := range []func(*experiment.Result) (*plot.Plot, error){servedPlot, latencyPlot, connectionsPlot} {
-			drawn, err := draw(r)
+			picture, err := draw(r)
 			if err != nil {
 				return err
 			}
-			text, err := renderSVG(drawn)
+			text, err := renderSVG(picture)
 			if err != nil {
 				return err
 			}
-			p.Plots = append(p.Plots, text)
+			section.Plots = append(section.Plots, text)
 		}
-		data.Runs = append(data.Runs, p)
+		data.Runs = append(data.Runs, section)
 	}
 	return pageTemplate.Execute(w, data)
 }
 
+// renderSVG returns a plot as an SVG element that can be embedded in an HTML page.
 func renderSVG(p *plot.Plot) (template.HTML, error) {
 	canvas, err := p.WriterTo(20*vg.Centimeter, 7*vg.Centimeter, "svg")
 	if err != nil {
@@ -138,12 +144,12 @@
 	if _, err := canvas.WriteTo(&text); err != nil {
 		return "", err
 	}
-	// What comes before the element belongs to a file of its own.
-	at := bytes.Index(text.Bytes(), []byte("<svg"))
-	if at < 0 {
-		return "", fmt.Errorf("the plot is no picture")
+	// The XML declaration and the doctype before the element are valid in a separate file only.
+	start := bytes.Index(text.Bytes(), []byte("<svg"))
+	if start < 0 {
+		return "", fmt.Errorf("the rendered plot has no <svg element")
 	}
-	return template.HTML(text.Bytes()[at:]), nil
+	return template.HTML(text.Bytes()[start:]), nil
 }
 
 var (
@@ -153,6 +159,7 @@
 	green = color.RGBA{R: 0x1b, G: 0x7f, B: 0x3b, A: 0xff}
 )
 
+// newPlot returns a plot with a grid and a title; x and y are the labels of its axes.
 func newPlot(title, x, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -161,17 +168,18 @@
 	return p
 }
 
-// shadeTroubles shades the times of troubles up to a height.
+// shadeTroubles shades the interval of each trouble of a run, up to the given height, and labels it with the first
+// word of its text. An interval that is shorter than 1/200 of the run is drawn that wide.
 func shadeTroubles(p *plot.Plot, r *experiment.Result, height float64) error {
-	for n, m := range r.Troubles {
-		to := math.Max(m.ToSeconds, m.FromSeconds+r.LengthSeconds/200)
-		box, err := plotter.NewPolygon(plotter.XYs{{X: m.FromSeconds, Y: 0}, {X: to, Y: 0}, {X: to, Y: height}, {X: m.FromSeconds, Y: height}})
+	for n, trouble := range r.Troubles {
+		end := math.Max(trouble.ToSeconds, trouble.FromSeconds+r.LengthSeconds/200)
+		box, err := plotter.NewPolygon(plotter.XYs{{X: trouble.FromSeconds, Y: 0}, {X: end, Y: 0}, {X: end, Y: height}, {X: trouble.FromSeconds, Y: height}})
 		if err != nil {
 			return err
 		}
 		box.Color, box.LineStyle.Width = rose, 0
 		p.Add(box)
-		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: m.FromSeconds, Y: height * (0.03 + 0.07*float64(n%5))}}, Labels: []string{strings.SplitN(m.Text, " ", 2)[0]}})
+		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: trouble.FromSeconds, Y: height * (0.03 + 0.07*float64(n%5))}}, Labels: []string{strings.SplitN(trouble.Text, " ", 2)[0]}})
 		if err != nil {
 			return err
 		}
@@ -180,29 +188,30 @@
 	return nil
 }
 
-// servedPlot is the share served in each second, beside the arrivals.
+// servedPlot shows the share served in each second and the arrivals, scaled to their maximum.
 func servedPlot(r *experiment.Result) (*plot.Plot, error) {
-	p := newPlot("Share served by second (arrivals in grey, against their most)", "s", "share")
+	p := newPlot("Share served by second (arrivals in grey, relative to their maximum)", "s", "share")
 	if err := shadeTroubles(p, r, 1); err != nil {
 		return nil, err
 	}
-	most := 1.0
+	maxArrivals := 1.0
 	for _, n := range r.ArrivalsBySecond {
-		most = math.Max(most, n)
+		maxArrivals = math.Max(maxArrivals, n)
 	}
-	var served, came plotter.XYs
+	var served, arrivals plotter.XYs
 	for i, x := range r.ServedBySecond {
 		if x >= 0 {
 			served = append(served, plotter.XY{X: float64(i) + 0.5, Y: math.Min(1, x)})
 		}
 	}
 	for i, n := range r.ArrivalsBySecond[:min(len(r.ArrivalsBySecond), int(r.LengthSeconds))] {
-		came = append(came, plotter.XY{X: float64(i) + 0.5, Y: n / most})
+		arrivals = append(arrivals, plotter.XY{X: float64(i) + 0.5, Y: n / maxArrivals})
 	}
 	p.Y.Min, p.Y.Max, p.X.Min, p.X.Max = 0, 1.25, 0, r.LengthSeconds // room for the legend
-	return p, addLines(p, []plotter.XYs{came, served}, []color.Color{grey, blue}, []string{fmt.Sprintf("arrivals, most %.0f a second", most), "served"})
+	return p, addLines(p, []plotter.XYs{arrivals, served}, []color.Color{grey, blue}, []string{fmt.Sprintf("arrivals, at most %.0f/s", maxArrivals), "served"})
 }
 
+// addLines adds one line for each row of points that isn't empty, with its colour and its name in the legend.
 func addLines(p *plot.Plot, rows []plotter.XYs, colours []color.Color, names []string) error {
 	for i, row := range rows {
 		if len(row) == 0 {
@@ -219,7 +228,8 @@
 	return nil
 }
 
-// latencyPlot is the time by quantile; the scale shows the nines.
+// latencyPlot shows set-up time and message answer time by quantile. The quantile axis is stretched towards 1 and the time axis
+// is logarithmic.
 func latencyPlot(r *experiment.Result) (*plot.Plot, error) {
 	p := newPlot("Latency by quantile", "quantile", "ms")
 	var rows []plotter.XYs
@@ -237,44 +247,45 @@
 	}
 	p.X.Tick.Marker = plot.ConstantTicks(ticks)
 	p.Legend.Left = true
-	return p, addLines(p, rows, []color.Color{blue, green}, []string{"set-up, from when it was meant to be asked for", "line, from when it was meant to be sent"})
+	return p, addLines(p, rows, []color.Color{blue, green}, []string{"set-up, from the scheduled request", "line, from the scheduled send"})
 }
 
-// quantileAxis spreads the quantiles near 1.
+// quantileAxis maps a quantile to its place on the axis, -log10(1-q), so that 0.9, 0.99 and 0.999 are equally far apart. It is
+// 5 at most.
 func quantileAxis(q float64) float64 { return -math.Log10(math.Max(1-q, 1e-5)) }
 
-// connectionsPlot is how many connections stand at each server.
+// connectionsPlot shows the number of established connections of each server over time.
 func connectionsPlot(r *experiment.Result) (*plot.Plot, error) {
-	p := newPlot("Connections by server", "s", "standing")
-	most := 1.0
+	p := newPlot("Connections by server", "s", "established")
+	maxConnections := 1.0
 	for _, row := range r.EstablishedBySecond {
 		for _, n := range row {
-			most = math.Max(most, float64(n))
+			maxConnections = math.Max(maxConnections, float64(n))
 		}
 	}
-	if err := shadeTroubles(p, r, most); err != nil {
+	if err := shadeTroubles(p, r, maxConnections); err != nil {
 		return nil, err
 	}
 	if len(r.EstablishedBySecond) == 0 {
 		return p, nil
 	}
-	for s := range r.EstablishedBySecond[0] {
+	for server := range r.EstablishedBySecond[0] {
 		var points plotter.XYs
 		for i, row := range r.EstablishedBySecond {
-			points = append(points, plotter.XY{X: float64(i + 1), Y: float64(row[s])})
+			points = append(points, plotter.XY{X: float64(i + 1), Y: float64(row[server])})
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
 			return nil, err
 		}
-		line.Color = hueColor(float64(s) / float64(len(r.EstablishedBySecond[0])))
+		line.Color = hueColor(float64(server) / float64(len(r.EstablishedBySecond[0])))
 		p.Add(line)
 	}
 	return p, nil
 }
 
-// hueColor is a colour of the wheel.
+// hueColor returns the colour at a position of the colour wheel; x is the share of a full turn.
 func hueColor(x float64) color.Color {
-	part := func(shift float64) uint8 { return uint8(110 + 100*math.Cos(2*math.Pi*(x+shift))) }
-	return color.RGBA{R: part(0), G: part(1.0 / 3), B: part(2.0 / 3), A: 0xff}
+	channel := func(shift float64) uint8 { return uint8(110 + 100*math.Cos(2*math.Pi*(x+shift))) }
+	return color.RGBA{R: channel(0), G: channel(1.0 / 3), B: channel(2.0 / 3), A: 0xff}
 }
--- a/lab/soak/play_test.go
+++ b/lab/soak/play_test.go
@@ -14,26 +14,26 @@
 	"hatchproxy/lab/soak"
 )
 
-// ciSeeds are what CI plays, some ten seconds each, one after the other and beside nothing else.
+// ciSeeds are the seeds that CI runs, one after the other and alone on the machine. Each takes some ten seconds.
 var ciSeeds = []uint64{2, 5, 6, 9, 12, 15}
 
-// Drawn faults of system calls, processes, clients, servers and discovery, overlapping in time, break no rule and end no
-// process. `hatchlab soak` plays more and larger ones.
+// Random faults of system calls, processes, clients, servers and discovery that overlap in time must not break a rule nor
+// crash a proxy. `hatchlab soak` runs more and larger schedules.
 func TestDrawnFaultsBreakNoRule(t *testing.T) {
 	if os.Getenv("HATCHLAB_SOAK") == "" {
-		t.Skip("a minute by itself: HATCHLAB_SOAK=1 go test ./lab/soak; CI plays it after all other tests")
+		t.Skip("takes a minute and has to run alone: HATCHLAB_SOAK=1 go test ./lab/soak; CI runs it after all other tests")
 	}
 	binary := filepath.Join(t.TempDir(), "hatchproxy")
 	out, err := exec.Command("go", "build", "-o", binary, "../../cmd/hatchproxy").CombinedOutput()
 	require.NoError(t, err, string(out))
 	for _, seed := range ciSeeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			drawn, err := soak.Generate(seed, soak.Short)
+			schedule, err := soak.Generate(seed, soak.Short)
 			require.NoError(t, err)
-			result, err := drawn.Experiment.Run(t.Context(), experiment.RunOptions{Seed: seed, Placement: experiment.PlacementProxies, ProxyBinary: binary, Dir: t.TempDir()})
+			result, err := schedule.Experiment.Run(t.Context(), experiment.RunOptions{Seed: seed, Placement: experiment.PlacementProxies, ProxyBinary: binary, Dir: t.TempDir()})
 			require.NoError(t, err)
-			t.Logf("%d proxies, %g requests, %g calls failed; %s", drawn.Experiment.Proxies.Count, result.Figures["asks"],
-				result.Figures["calls-failed"], strings.Join(drawn.FaultKinds, " "))
+			t.Logf("%d proxies, %g requests, %g calls failed; %s", schedule.Experiment.Proxies.Count, result.Figures["asks"],
+				result.Figures["calls-failed"], strings.Join(schedule.FaultKinds, " "))
 			require.Empty(t, result.Shortfalls, "%s\n%s", strings.Join(result.Breaches, "\n"), strings.Join(result.Crashes, "\n"))
 		})
 	}
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak draws randomized fault runs: many real proxies before a stand-in fleet, with faults of system calls,
-// processes, clients, servers and discovery that overlap in time. The rules of lab/ledger are its oracle. One seed gives
-// one schedule, written as an experiment, so that `hatchlab run` plays it again.
+// Package soak generates randomized fault runs: many real proxies in front of simulated servers, with faults of system
+// calls, processes, clients, servers and discovery that overlap in time. The rules of lab/ledger decide whether a run
+// passes. A seed and a size determine the schedule. It is written as an experiment file, which `hatchlab run` can repeat.
 package soak
 
 import (
@@ -13,32 +13,33 @@
 	"hatchproxy/lab/experiment"
 )
 
-// Size bounds a run.
+// Size bounds a generated run.
 type Size struct {
-	MinProxies, MaxProxies int           // proxies
-	LoadLength             time.Duration // of the load
-	FaultCount             int           // how many are drawn
+	MinProxies, MaxProxies int           // both inclusive
+	LoadLength             time.Duration // how long clients send requests
+	FaultCount             int           // faults to draw; those that find no target left are omitted
 }
 
-// Full is what is played by hand, Short what CI plays.
+// Full is the default of `hatchlab soak`; Short is the size that CI runs.
 var (
 	Full  = Size{MinProxies: 10, MaxProxies: 40, LoadLength: 14 * time.Second, FaultCount: 12}
 	Short = Size{MinProxies: 10, MaxProxies: 14, LoadLength: 9 * time.Second, FaultCount: 8}
 )
 
-// requestsPerSecondPerProxy is the rate of requests a proxy gets, in a second.
+// requestsPerSecondPerProxy is the rate of requests for each proxy of a run.
 const requestsPerSecondPerProxy = 4
 
-// faultSpec is a kind of trouble as the soak draws it.
+// faultSpec is a kind of trouble with the ranges from which Generate draws its parameters.
 type faultSpec struct {
 	kind             string
-	minSize, maxSize float64 // its size
-	maxShare         float64 // of the proxies or servers it may strike, at most
-	targetsServers   bool
-	targetsDiscovery bool
-	isExclusive      bool // it ends processes: no two of these strike one proxy, and no signals in series beside them
+	minSize, maxSize float64 // range of the trouble's size; it has no size if maxSize is 0
+	maxShare         float64 // largest share of the proxies or servers that it affects; it affects at least one
+	targetsServers   bool    // it affects servers instead of proxies
+	targetsDiscovery bool    // it affects discovery and has no list of targets
+	isExclusive      bool    // it ends, stops or signals a process; a proxy gets at most one of these, so that they don't overlap
 }
 
+// faultSpecs are the kinds of trouble to draw from, each entry with the same probability.
 var faultSpecs = []faultSpec{
 	{kind: "calls-accept", minSize: 0.05, maxSize: 0.6, maxShare: 1},
 	{kind: "calls-socket", minSize: 0.02, maxSize: 0.4, maxShare: 1},
@@ -70,113 +71,121 @@
 	{kind: "list-garbage", targetsDiscovery: true},
 }
 
-// Schedule is a drawn run.
+// Schedule is a generated run.
 type Schedule struct {
 	Seed       uint64
-	TOML       string // the experiment
-	FaultKinds []string
-	Experiment *experiment.File
+	TOML       string           // the experiment file's text
+	FaultKinds []string         // sorted, without duplicates
+	Experiment *experiment.File // TOML, parsed
 }
 
-// Generate draws a run. The same seed and size give the same.
+// Generate draws the schedule of a seed and a size; the same arguments always give the same schedule. It returns an error if
+// the experiment file that it wrote doesn't parse.
 func Generate(seed uint64, size Size) (*Schedule, error) {
-	d := &generator{random: rand.New(rand.NewPCG(seed, 0x50a1)), size: size, exclusiveTargets: map[int]bool{}}
-	d.proxyCount = size.MinProxies + d.random.IntN(size.MaxProxies-size.MinProxies+1)
-	d.serverCount = 6 + d.random.IntN(5)
-	d.writeSetup(seed)
-	r := &Schedule{Seed: seed}
+	g := &generator{random: rand.New(rand.NewPCG(seed, 0x50a1)), size: size, exclusiveTargets: map[int]bool{}}
+	g.proxyCount = size.MinProxies + g.random.IntN(size.MaxProxies-size.MinProxies+1)
+	g.serverCount = 6 + g.random.IntN(5)
+	g.writeSetup(seed)
+	schedule := &Schedule{Seed: seed}
 	for range size.FaultCount {
-		if kind := d.writeTrouble(faultSpecs[d.random.IntN(len(faultSpecs))]); kind != "" {
-			r.FaultKinds = append(r.FaultKinds, kind)
+		if kind := g.writeTrouble(faultSpecs[g.random.IntN(len(faultSpecs))]); kind != "" {
+			schedule.FaultKinds = append(schedule.FaultKinds, kind)
 		}
 	}
-	slices.Sort(r.FaultKinds)
-	r.FaultKinds = slices.Compact(r.FaultKinds)
-	r.TOML = d.toml.String()
-	file, err := experiment.Parse(fmt.Sprintf("soak-%d.toml", seed), []byte(r.TOML))
-	r.Experiment = file
-	return r, err
+	slices.Sort(schedule.FaultKinds)
+	schedule.FaultKinds = slices.Compact(schedule.FaultKinds)
+	schedule.TOML = g.toml.String()
+	file, err := experiment.Parse(fmt.Sprintf("soak-%d.toml", seed), []byte(schedule.TOML))
+	schedule.Experiment = file
+	return schedule, err
 }
 
+// generator draws a schedule and writes it as an experiment file.
 type generator struct {
 	random           *rand.Rand
 	size             Size
 	proxyCount       int
 	serverCount      int
-	exclusiveTargets map[int]bool // proxies whose processes some fault ends or signals
+	exclusiveTargets map[int]bool // proxies that already have an exclusive fault, by index
 	toml             strings.Builder
 }
 
-func (d *generator) writeLine(format string, a ...any) { fmt.Fprintf(&d.toml, format+"\n", a...) }
+func (g *generator) writeLine(format string, a ...any) { fmt.Fprintf(&g.toml, format+"\n", a...) }
 
-func (d *generator) uniform(least, most float64) float64 {
-	return least + (most-least)*d.random.Float64()
+// uniform draws a number between low and high.
+func (g *generator) uniform(low, high float64) float64 {
+	return low + (high-low)*g.random.Float64()
 }
 
-func (d *generator) writeSetup(seed uint64) {
-	d.writeLine("name = \"soak-%d\"\nlength = %q\nseeds = [%d]", seed, d.size.LoadLength, seed)
-	d.writeLine("\n[proxies]\ncount = %d\nsockets = %d", d.proxyCount, []int{160, 256, 512}[d.random.IntN(3)])
-	d.writeLine("\n[fleet]\nservers = %d\nzones = [\"a\", \"b\"]\nbetween = \"1ms\"\ncell-size = 2\nset-up = \"4ms\"\nload = \"20ms\"\nprobes = %t",
-		d.serverCount, d.random.IntN(2) == 0)
-	d.writeLine("connections-per-core = 200\nqueue-per-core = 40\nnotice = \"300ms\"")
-	d.writeLine("\n[[fleet.kind]]\nname = \"m\"\nshare = 1.0\ncores = 3\nspeed = 1.5\nspread = 0.3")
-	d.writeProduct("watch", "harmless", "", 0.4)
-	d.writeProduct("book", "one-shot", "", 0.35)
-	d.writeProduct("note", "stamped", []string{"all", "zone", "group"}[d.random.IntN(3)], 0.25)
-	d.writeLine("\n[load]\nrate = %d.0\ngroups = 30\nretries = 2\nleave = 0.1\nrest = 0.15\nevery = \"500ms\"", d.proxyCount*requestsPerSecondPerProxy)
+// writeSetup writes all but the troubles: proxies, servers, products and load.
+func (g *generator) writeSetup(seed uint64) {
+	g.writeLine("name = \"soak-%d\"\nlength = %q\nseeds = [%d]", seed, g.size.LoadLength, seed)
+	g.writeLine("\n[proxies]\ncount = %d\nsockets = %d", g.proxyCount, []int{160, 256, 512}[g.random.IntN(3)])
+	g.writeLine("\n[fleet]\nservers = %d\nzones = [\"a\", \"b\"]\nbetween = \"1ms\"\ncell-size = 2\nset-up = \"4ms\"\nload = \"20ms\"\nprobes = %t",
+		g.serverCount, g.random.IntN(2) == 0)
+	g.writeLine("connections-per-core = 200\nqueue-per-core = 40\nnotice = \"300ms\"")
+	g.writeLine("\n[[fleet.kind]]\nname = \"m\"\nshare = 1.0\ncores = 3\nspeed = 1.5\nspread = 0.3")
+	g.writeProduct("watch", "harmless", "", 0.4)
+	g.writeProduct("book", "one-shot", "", 0.35)
+	g.writeProduct("note", "stamped", []string{"all", "zone", "group"}[g.random.IntN(3)], 0.25)
+	g.writeLine("\n[load]\nrate = %d.0\ngroups = 30\nretries = 2\nleave = 0.1\nrest = 0.15\nevery = \"500ms\"", g.proxyCount*requestsPerSecondPerProxy)
 }
 
-func (d *generator) writeProduct(name, repeat, reach string, share float64) {
-	limit := time.Duration(d.uniform(600, 2500)) * time.Millisecond
-	d.writeLine("\n[[product]]\nname = %q\nrepeat = %q\nreach = %q\nwindow = \"2s\"\nshare = %g\nlife = \"4s\"\nquoted = \"300ms\"\nlimit = %q\nmessage = \"150ms\"",
+// writeProduct writes a product with a random time limit; repeat and reach say whether and where its requests may be
+// repeated.
+func (g *generator) writeProduct(name, repeat, reach string, share float64) {
+	limit := time.Duration(g.uniform(600, 2500)) * time.Millisecond
+	g.writeLine("\n[[product]]\nname = %q\nrepeat = %q\nreach = %q\nwindow = \"2s\"\nshare = %g\nlife = \"4s\"\nquoted = \"300ms\"\nlimit = %q\nmessage = \"150ms\"",
 		name, repeat, reach, share, limit)
 }
 
-// writeTrouble draws one; "" where nobody is left for it.
-func (d *generator) writeTrouble(f faultSpec) string {
-	at := time.Duration(d.uniform(0.2, d.size.LoadLength.Seconds()*0.7) * 1e9).Round(time.Millisecond)
-	lasts := time.Duration(d.uniform(0.5, d.size.LoadLength.Seconds()*0.35) * 1e9).Round(time.Millisecond)
+// writeTrouble draws time, length, size and targets of a fault and writes it. It returns the fault's kind, or "" if nothing was
+// written because no target is left.
+func (g *generator) writeTrouble(f faultSpec) string {
+	start := time.Duration(g.uniform(0.2, g.size.LoadLength.Seconds()*0.7) * 1e9).Round(time.Millisecond)
+	length := time.Duration(g.uniform(0.5, g.size.LoadLength.Seconds()*0.35) * 1e9).Round(time.Millisecond)
 	if f.kind == "drop" || f.kind == "proxy-series" || f.kind == "way-reset" {
-		lasts = 100 * time.Millisecond
+		length = 100 * time.Millisecond
 	}
 	if f.kind == "proxy-stop" {
-		lasts = time.Duration(d.uniform(100, 1500)) * time.Millisecond
+		length = time.Duration(g.uniform(100, 1500)) * time.Millisecond
 	}
-	text := fmt.Sprintf("\n[[trouble]]\nkind = %q\nat = %q\nfor = %q", f.kind, at, lasts)
+	text := fmt.Sprintf("\n[[trouble]]\nkind = %q\nat = %q\nfor = %q", f.kind, start, length)
 	if f.maxSize > 0 {
-		text += fmt.Sprintf("\nsize = %.3f", d.uniform(f.minSize, f.maxSize))
+		text += fmt.Sprintf("\nsize = %.3f", g.uniform(f.minSize, f.maxSize))
 	}
 	if !f.targetsDiscovery {
-		struck := d.chooseTargets(f)
-		if len(struck) == 0 {
+		targets := g.chooseTargets(f)
+		if len(targets) == 0 {
 			return ""
 		}
-		text += "\nservers = " + strings.ReplaceAll(fmt.Sprint(struck), " ", ", ")
+		text += "\nservers = " + strings.ReplaceAll(fmt.Sprint(targets), " ", ", ")
 	}
-	d.writeLine("%s", text)
+	g.writeLine("%s", text)
 	return f.kind
 }
 
-// chooseTargets draws whom a fault strikes.
-func (d *generator) chooseTargets(f faultSpec) []int {
-	of := d.proxyCount
+// chooseTargets draws the proxies or servers that a fault affects and returns their indices, sorted. The list is empty if the
+// fault is exclusive and every proxy has an exclusive fault already.
+func (g *generator) chooseTargets(f faultSpec) []int {
+	candidateCount := g.proxyCount
 	if f.targetsServers {
-		of = d.serverCount
+		candidateCount = g.serverCount
 	}
-	number := 1 + d.random.IntN(max(1, int(f.maxShare*float64(of))))
-	var struck []int
-	for _, n := range d.random.Perm(of) {
-		if len(struck) == number {
+	count := 1 + g.random.IntN(max(1, int(f.maxShare*float64(candidateCount))))
+	var targets []int
+	for _, index := range g.random.Perm(candidateCount) {
+		if len(targets) == count {
 			break
 		}
-		if f.isExclusive && d.exclusiveTargets[n] {
+		if f.isExclusive && g.exclusiveTargets[index] {
 			continue
 		}
 		if f.isExclusive {
-			d.exclusiveTargets[n] = true
+			g.exclusiveTargets[index] = true
 		}
-		struck = append(struck, n)
+		targets = append(targets, index)
 	}
-	slices.Sort(struck)
-	return struck
+	slices.Sort(targets)
+	return targets
 }
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -8,6 +8,8 @@
 	"hatchproxy/lab/soak"
 )
 
+// The same seed must give the same schedule, so that a failed run can be repeated; schedules must be valid experiments within
+// the bounds of their size, and 200 seeds must produce more than 20 kinds of trouble.
 func TestOneSeedDrawsOneScheduleThatCanBePlayedAgain(t *testing.T) {
 	kinds := map[string]bool{}
 	for seed := range uint64(200) {
@@ -23,5 +25,5 @@
 			kinds[kind] = true
 		}
 	}
-	require.Greater(t, len(kinds), 20, "all kinds come")
+	require.Greater(t, len(kinds), 20, "kinds of trouble in 200 schedules")
 }
