--- a/cmd/hatchlab/chaos.go
+++ b/cmd/hatchlab/chaos.go
@@ -18,30 +18,31 @@
 )
 
 func chaosCommand() *cobra.Command {
-	var runs, beside int
+	var runs, parallel int
 	var seed int64
-	var binary, into string
+	var binary, outputFolder string
 	c := &cobra.Command{
-		Use: "chaos FILE", Short: "Put drawn faults between agents and into them, and judge whether what was agreed on stays so",
+		Use: "chaos FILE", Short: "Cause random faults in agents and between them, and check that what they agreed on holds",
 		Args:    cobra.ExactArgs(1),
 		Example: "  hatchlab chaos experiments/chaos/five.toml --runs 200 --seed 1",
-		Long: `Starts the agents that FILE names, each on a machine of its own (a loopback address) and reached through relays, draws
-faults by seed, plays them while clients have commands agreed on, and judges the record: nothing agreed on is lost or
-changed, no two lead in one term, all settle in time. A breach is played with ever fewer faults while it still breaks; the
-seed, the shorter schedule and its record are written to a file. Run R of seed S is run 1 of seed S+R-1.`,
+		Long: `Starts the agents that FILE describes, each on a machine of its own (a loopback address) and reached through relays, draws
+a schedule of faults from each seed, runs it while clients submit commands, and checks the record: no committed command is
+lost or changed, no two agents lead in one term, all agents settle in time. If a schedule fails, faults are removed from it
+as long as it still fails; the seed, the shorter schedule and its record are written to a file. Run R of seed S is run 1 of
+seed S+R-1.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			f, err := chaos.ReadFile(args[0])
 			if err != nil {
 				return err
 			}
-			return runChaos(c.Context(), c.OutOrStdout(), f, binary, into, seed, runs, max(1, beside))
+			return runChaos(c.Context(), c.OutOrStdout(), f, binary, outputFolder, seed, runs, max(1, parallel))
 		},
 	}
-	c.Flags().IntVar(&runs, "runs", 10, "how many schedules")
-	c.Flags().Int64Var(&seed, "seed", 1, "the first one's")
-	c.Flags().IntVar(&beside, "beside", 4, "how many are played side by side")
-	c.Flags().StringVar(&binary, "agent", "bin/hatchagent", "the program that is tried")
-	c.Flags().StringVar(&into, "into", ".", "the folder for records of breaches")
+	c.Flags().IntVar(&runs, "runs", 10, "number of schedules")
+	c.Flags().Int64Var(&seed, "seed", 1, "seed of the first schedule; each further one adds 1")
+	c.Flags().IntVar(&parallel, "beside", 4, "number of schedules to run in parallel")
+	c.Flags().StringVar(&binary, "agent", "bin/hatchagent", "the hatchagent program to test")
+	c.Flags().StringVar(&outputFolder, "into", ".", "folder for the records of schedules that failed")
 	return c
 }
 
@@ -49,10 +50,10 @@
 	var agents, voters, commands int
 	var binary string
 	c := &cobra.Command{
-		Use: "spread", Short: "Measure how commands reach many agents, and what passes between them at rest", Args: cobra.NoArgs,
+		Use: "spread", Short: "Measure how fast commands reach many agents, and their traffic without commands", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if voters < 1 || agents < voters || commands < 1 {
-				return fmt.Errorf("%d agents, %d of them voters, %d commands: too few", agents, voters, commands)
+				return fmt.Errorf("%d agents, %d of them voters, %d commands: need at least one voter and one command, and no more voters than agents", agents, voters, commands)
 			}
 			folder, err := os.MkdirTemp("", "hc")
 			if err != nil {
@@ -68,23 +69,25 @@
 			if err != nil {
 				return err
 			}
-			at := func(all []time.Duration, part int) time.Duration {
-				return all[len(all)*part/100].Round(100 * time.Microsecond)
+			percentile := func(sorted []time.Duration, percent int) time.Duration {
+				return sorted[len(sorted)*percent/100].Round(100 * time.Microsecond)
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d agents, %d voters, %d commands: answered p50 %v, p99 %v; applied by all p50 %v, p99 %v; at rest %.0f bytes a second\n",
-				agents, voters, commands, at(s.First, 50), at(s.First, 99), at(s.All, 50), at(s.All, 99), s.Rest)
+			fmt.Fprintf(c.OutOrStdout(), "%d agents, %d voters, %d commands: answered p50 %v, p99 %v; applied by all p50 %v, p99 %v; without commands %.0f bytes/s\n",
+				agents, voters, commands, percentile(s.First, 50), percentile(s.First, 99), percentile(s.All, 50), percentile(s.All, 99), s.Rest)
 			return nil
 		},
 	}
-	c.Flags().IntVar(&agents, "agents", 100, "how many, each a process")
-	c.Flags().IntVar(&voters, "voters", 5, "how many of them vote")
-	c.Flags().IntVar(&commands, "commands", 100, "how many, one after the other")
-	c.Flags().StringVar(&binary, "agent", "bin/hatchagent", "the program that is tried")
+	c.Flags().IntVar(&agents, "agents", 100, "number of agents, each a process")
+	c.Flags().IntVar(&voters, "voters", 5, "number of agents that vote")
+	c.Flags().IntVar(&commands, "commands", 100, "number of commands, submitted one after the other")
+	c.Flags().StringVar(&binary, "agent", "bin/hatchagent", "the hatchagent program to test")
 	return c
 }
 
-func runChaos(ctx context.Context, out io.Writer, f *chaos.File, binary, into string, seed int64, runs, beside int) error {
-	play := func(seed int64, faults []chaos.Fault) (chaos.Record, []chaos.Breach, error) {
+// runChaos runs the schedules of consecutive seeds, some of them in parallel, and prints what they came to. It returns
+// errChecksFailed if a schedule broke a rule, and the first error of a schedule that could not be run.
+func runChaos(ctx context.Context, out io.Writer, f *chaos.File, binary, outputFolder string, seed int64, runs, parallel int) error {
+	runSchedule := func(seed int64, faults []chaos.Fault) (chaos.Record, []chaos.Breach, error) {
 		folder, err := os.MkdirTemp("", "hc")
 		if err != nil {
 			return chaos.Record{}, nil, err
@@ -100,21 +103,21 @@
 	}
 	var mu sync.Mutex
 	var settled []time.Duration
-	tried, broken, answered := map[chaos.Kind]int{}, 0, 0
-	var fault error
+	faultCounts, failed, answered := map[chaos.Kind]int{}, 0, 0
+	var firstErr error
 	seeds := make(chan int64)
-	var all sync.WaitGroup
-	for range beside {
-		all.Go(func() {
+	var workers sync.WaitGroup
+	for range parallel {
+		workers.Go(func() {
 			for s := range seeds {
-				drawn := f.Drawn(s)
-				r, breaches, err := play(s, drawn)
+				schedule := f.Drawn(s)
+				r, breaches, err := runSchedule(s, schedule)
 				if ctx.Err() != nil {
-					continue // broken off: what was not seen any more proves nothing
+					continue // interrupted: the record is incomplete and proves nothing
 				}
 				mu.Lock()
-				for _, x := range drawn {
-					tried[x.Kind]++
+				for _, x := range schedule {
+					faultCounts[x.Kind]++
 				}
 				for _, x := range r.Said {
 					if x.Number > 0 {
@@ -122,30 +125,30 @@
 					}
 				}
 				settled = append(settled, r.Settled)
-				if err != nil && fault == nil {
-					fault = fmt.Errorf("seed %d: %w", s, err)
+				if err != nil && firstErr == nil {
+					firstErr = fmt.Errorf("seed %d: %w", s, err)
 				}
 				if len(breaches) > 0 {
-					broken++
+					failed++
 				}
 				mu.Unlock()
 				if err != nil || len(breaches) == 0 {
 					continue
 				}
-				short := chaos.Shorten(drawn, func(faults []chaos.Fault) bool {
-					again, found, err := play(s, faults)
-					if err == nil && len(found) > 0 {
-						r, breaches = again, found
+				shortened := chaos.Shorten(schedule, func(faults []chaos.Fault) bool {
+					shorterRecord, shorterBreaches, err := runSchedule(s, faults)
+					if err == nil && len(shorterBreaches) > 0 {
+						r, breaches = shorterRecord, shorterBreaches
 						return true
 					}
 					return false
 				})
-				path := filepath.Join(into, fmt.Sprintf("chaos-%d.txt", s))
-				text := fmt.Sprintf("seed %d\nbreaches: %v\nshorter schedule: %v\n\n%s", s, breaches, short, r.Tell())
+				path := filepath.Join(outputFolder, fmt.Sprintf("chaos-%d.txt", s))
+				text := fmt.Sprintf("seed %d\nbreaches: %v\nshorter schedule: %v\n\n%s", s, breaches, shortened, r.Tell())
 				mu.Lock()
-				fmt.Fprintf(out, "seed %d breaks: %v; the record is in %s\n", s, breaches, path)
-				if err := os.WriteFile(path, []byte(text), 0o600); err != nil && fault == nil {
-					fault = err
+				fmt.Fprintf(out, "seed %d failed: %v; the record is in %s\n", s, breaches, path)
+				if err := os.WriteFile(path, []byte(text), 0o600); err != nil && firstErr == nil {
+					firstErr = err
 				}
 				mu.Unlock()
 			}
@@ -157,17 +160,17 @@
 		}
 	}
 	close(seeds)
-	all.Wait()
-	if fault != nil || ctx.Err() != nil || len(settled) == 0 {
-		return errors.Join(fault, ctx.Err())
+	workers.Wait()
+	if firstErr != nil || ctx.Err() != nil || len(settled) == 0 {
+		return errors.Join(firstErr, ctx.Err())
 	}
 	slices.Sort(settled)
-	fmt.Fprintf(out, "%d schedules, %d broken; %d commands answered; settled after the last fault p50 %v, p99 %v, worst %v\n", len(settled), broken, answered,
+	fmt.Fprintf(out, "%d schedules, %d failed; %d commands answered; settled after the last fault p50 %v, p99 %v, worst %v\n", len(settled), failed, answered,
 		settled[len(settled)/2].Round(time.Millisecond), settled[len(settled)*99/100].Round(time.Millisecond), settled[len(settled)-1].Round(time.Millisecond))
-	for _, k := range slices.Sorted(maps.Keys(tried)) {
-		fmt.Fprintf(out, "  %-9s %d\n", k, tried[k])
+	for _, k := range slices.Sorted(maps.Keys(faultCounts)) {
+		fmt.Fprintf(out, "  %-9s %d\n", k, faultCounts[k])
 	}
-	if broken > 0 {
+	if failed > 0 {
 		return errChecksFailed
 	}
 	return nil
--- a/cmd/hatchlab/compare.go
+++ b/cmd/hatchlab/compare.go
@@ -15,19 +15,19 @@
 )
 
 func compareCommand() *cobra.Command {
-	var s runner
+	var r runner
 	var proxies []string
 	c := &cobra.Command{
-		Use: "compare FILE --proxy A --proxy B", Short: "Play two builds on the same seeds, in turn, and tell the difference with its interval",
-		Long: `Plays each seed with both builds, the first in front on every other one, and tells for each figure the mean of the
-pairs' differences with the bounds that hold in 95 of 100 cases (Student's t over the pairs).
+		Use: "compare FILE --proxy A --proxy B", Short: "Run two builds with the same seeds and print the differences with confidence intervals",
+		Long: `Runs each seed with both builds, alternating which one goes first, and prints for each figure the mean difference of the
+pairs with its 95% confidence interval (Student's t over the pairs).
 
-Exit codes: 0 no figure of the rules got worse, 1 the second build broke a rule, 2 it could not run.`,
+Exit codes: 0 the second build broke no rule, 1 it broke a rule or a proxy crashed, 2 it could not run.`,
 		Example: "  hatchlab compare experiments/slow-quarter.toml --proxy old/hatchproxy --proxy bin/hatchproxy --seed 1,2,3,4,5",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if len(proxies) != 2 {
-				return fmt.Errorf("--proxy is to be given twice, and was given %d times", len(proxies))
+				return fmt.Errorf("--proxy must be given exactly twice, got %d", len(proxies))
 			}
 			f, err := experiment.Read(args[0])
 			if err != nil {
@@ -35,33 +35,33 @@
 			}
 			results := [2][]*experiment.Result{}
 			broken := 0.0
-			for round, seed := range s.selectSeeds(f) {
+			for round, seed := range r.selectSeeds(f) {
 				for turn := range 2 {
 					which := (round + turn) % 2
-					s.proxyPath = proxies[which]
-					binary, agent, done, err := s.buildPrograms(c.Context(), f.Control.Agents > 0)
+					r.proxyPath = proxies[which]
+					binary, agent, cleanup, err := r.buildPrograms(c.Context(), f.Control.Agents > 0)
 					if err != nil {
 						return err
 					}
-					defer done()
-					s.agentPath = agent
-					r, err := s.runOnce(c.Context(), f, binary, experiment.PlacementProxies, seed, c.ErrOrStderr())
+					defer cleanup()
+					r.agentPath = agent
+					result, err := r.runOnce(c.Context(), f, binary, experiment.PlacementProxies, seed, c.ErrOrStderr())
 					if err != nil {
 						return err
 					}
-					r.Proxy = proxies[which]
-					results[which] = append(results[which], r)
-					fmt.Fprintf(c.ErrOrStderr(), "seed %d, %s: served %.3f, %g broken\n", seed, r.Proxy, r.Figures["served"], r.Figures["breaches"])
+					result.Proxy = proxies[which]
+					results[which] = append(results[which], result)
+					fmt.Fprintf(c.ErrOrStderr(), "seed %d, %s: served %.3f, %g broken\n", seed, result.Proxy, result.Figures["served"], result.Figures["breaches"])
 					if which == 1 {
-						broken += r.Figures["breaches"] + r.Figures["crashes"]
+						broken += result.Figures["breaches"] + result.Figures["crashes"]
 					}
 				}
 			}
-			found := experiment.Compare(results[0], results[1], experiment.ComparedFigures)
-			if err := s.writeOutputs(c, f, append(results[0], results[1]...), nil); err != nil {
+			differences := experiment.Compare(results[0], results[1], experiment.ComparedFigures)
+			if err := r.writeOutputs(c, f, append(results[0], results[1]...), nil); err != nil {
 				return err
 			}
-			printDifferences(c, proxies, found)
+			printDifferences(c, proxies, differences)
 			if broken > 0 {
 				return errChecksFailed
 			}
@@ -69,53 +69,54 @@
 		},
 	}
 	f := c.Flags()
-	f.StringArrayVar(&proxies, "proxy", nil, "a build; twice")
-	f.UintSliceVar(&s.seeds, "seed", nil, "seeds to play, instead of the file's")
-	f.BoolVar(&s.quick, "quick", false, "the first seed only, at most 40 s of it")
-	f.StringVar(&s.jsonPath, "json", "", "a file for all runs, as JSON; - for standard output")
-	f.StringVar(&s.htmlPath, "html", "", "a file for the report")
-	f.BoolVar(&s.quiet, "quiet", false, "no progress")
+	f.StringArrayVar(&proxies, "proxy", nil, "path of a hatchproxy build; give it twice")
+	f.UintSliceVar(&r.seeds, "seed", nil, "seeds to run instead of the file's")
+	f.BoolVar(&r.quick, "quick", false, "run only the first seed, for at most 40 s")
+	f.StringVar(&r.jsonPath, "json", "", "write the results of all runs to this file as JSON; - for standard output")
+	f.StringVar(&r.htmlPath, "html", "", "write an HTML report to this file")
+	f.BoolVar(&r.quiet, "quiet", false, "print no progress")
 	return c
 }
 
-func printDifferences(c *cobra.Command, names []string, found []experiment.Difference) {
+// printDifferences prints a table of the differences between the builds with the two given names.
+func printDifferences(c *cobra.Command, names []string, differences []experiment.Difference) {
 	out := c.OutOrStdout()
 	fmt.Fprintf(out, "%-18s %12s %12s %12s   95%% interval\n", "figure", "first", "second", "difference")
-	for _, d := range found {
+	for _, d := range differences {
 		mark := " "
 		if d.IsSignificant() {
 			mark = "*"
 		}
-		bounds := "one pair tells none"
+		bounds := "no interval from one pair"
 		if d.High < 1e300 {
 			bounds = fmt.Sprintf("%+.4g to %+.4g", d.Low, d.High)
 		}
 		fmt.Fprintf(out, "%-18s %12.4g %12.4g %+12.4g %s %s\n", d.Figure, d.First, d.Second, d.Mean, mark, bounds)
 	}
-	fmt.Fprintf(out, "first is %s, second is %s; * marks a difference whose interval leaves 0 out\n", names[0], names[1])
+	fmt.Fprintf(out, "first is %s, second is %s; * marks a difference whose interval excludes 0\n", names[0], names[1])
 }
 
 func costCommand() *cobra.Command {
-	var s runner
-	var standing []uint
+	var r runner
+	var connectionCounts []uint
 	var pairs int
 	var asJSON bool
 	c := &cobra.Command{
-		Use: "cost", Short: "Measure a proxy's own path beside a bare relay's, in turn",
-		Long: `Starts a bare relay (two copies a connection, no decisions, a process of its own) and the proxy in turn before
-servers that answer at once, and tells set-up, line, CPU a line, memory a connection and the CPU of connections that
-stand idle, as ratios, at each number of standing connections.
+		Use: "cost", Short: "Measure the proxy's overhead against a bare relay",
+		Long: `Runs a bare relay (a process that only copies the bytes of each connection both ways) and the proxy alternately in front of
+servers that answer at once. For each number of established connections it prints set-up time, line time, CPU per line,
+memory per connection and the CPU that idle connections use, with the ratio between proxy and relay.
 
 Exit codes: 0 measured, 2 it could not run.`,
 		Example: "  hatchlab cost --standing 1,400,5000 --pairs 3\n  hatchlab cost --proxy bin/hatchproxy --json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			binary, _, done, err := s.buildPrograms(c.Context(), false)
+			binary, _, cleanup, err := r.buildPrograms(c.Context(), false)
 			if err != nil {
 				return err
 			}
-			defer done()
-			costs, err := s.measureCosts(c, binary, standing, pairs)
+			defer cleanup()
+			costs, err := r.measureCosts(c, binary, connectionCounts, pairs)
 			if err != nil {
 				return err
 			}
@@ -128,34 +129,35 @@
 				return nil
 			}
 			for _, cost := range costs {
-				fmt.Fprintf(c.OutOrStdout(), "%6d standing: %s\n", cost.Connections, cost.Summary())
+				fmt.Fprintf(c.OutOrStdout(), "%6d connections: %s\n", cost.Connections, cost.Summary())
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&s.proxyPath, "proxy", "", "the hatchproxy program; built from ./cmd/hatchproxy if not given")
-	c.Flags().UintSliceVar(&standing, "standing", []uint{1, 400, 5000}, "how many connections stand")
-	c.Flags().IntVar(&pairs, "pairs", 3, "how often relay and proxy are measured")
-	c.Flags().BoolVar(&asJSON, "json", false, "all figures, as JSON")
-	c.Flags().BoolVar(&s.quiet, "quiet", false, "no progress")
+	c.Flags().StringVar(&r.proxyPath, "proxy", "", "the hatchproxy program; built from ./cmd/hatchproxy if not given")
+	c.Flags().UintSliceVar(&connectionCounts, "standing", []uint{1, 400, 5000}, "numbers of established connections to measure with")
+	c.Flags().IntVar(&pairs, "pairs", 3, "number of measurements of relay and proxy")
+	c.Flags().BoolVar(&asJSON, "json", false, "print all measurements as JSON")
+	c.Flags().BoolVar(&r.quiet, "quiet", false, "print no progress")
 	return c
 }
 
-// measureCosts measures the proxy's own path beside the bare relay's, which is this program in a process of its own.
-func (s *runner) measureCosts(c *cobra.Command, binary string, standing []uint, pairs int) ([]*experiment.Cost, error) {
+// measureCosts measures the proxy against the bare relay, a further process of this program, once for each number of
+// established connections.
+func (r *runner) measureCosts(c *cobra.Command, binary string, connectionCounts []uint, pairs int) ([]*experiment.Cost, error) {
 	folder, err := os.MkdirTemp("", "hatchlab-cost-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(folder)
-	own, err := os.Executable()
+	hatchlab, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	relay := func(listen, servers string) *exec.Cmd { return exec.Command(own, "relay", listen, servers) }
+	relay := func(listen, servers string) *exec.Cmd { return exec.Command(hatchlab, "relay", listen, servers) }
 	var costs []*experiment.Cost
-	for _, n := range standing {
-		cost, err := experiment.MeasureCost(c.Context(), binary, relay, int(n), pairs, folder, s.progressFunc(c.ErrOrStderr()))
+	for _, n := range connectionCounts {
+		cost, err := experiment.MeasureCost(c.Context(), binary, relay, int(n), pairs, folder, r.progressFunc(c.ErrOrStderr()))
 		if err != nil {
 			return nil, err
 		}
@@ -164,10 +166,10 @@
 	return costs, nil
 }
 
-// relayCommand is the bare relay, as a process of its own.
+// relayCommand runs the bare relay that `hatchlab cost` compares the proxy with.
 func relayCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "relay LISTEN SERVER,SERVER...", Short: "A bare relay: copies bytes, decides nothing", Args: cobra.ExactArgs(2), Hidden: true,
+		Use: "relay LISTEN SERVER,SERVER...", Short: "Run a bare relay that only copies bytes, from LISTEN to the servers", Args: cobra.ExactArgs(2), Hidden: true,
 		RunE: func(_ *cobra.Command, args []string) error {
 			l, err := net.Listen("tcp", args[0])
 			if err != nil {
--- a/cmd/hatchlab/fleet.go
+++ b/cmd/hatchlab/fleet.go
@@ -11,9 +11,9 @@
 )
 
 func fleetCommand() *cobra.Command {
-	var list string
+	var discovery string
 	c := &cobra.Command{
-		Use: "fleet [FILE]", Short: "Only the stand-in fleet and its discovery, to try a proxy by hand, until it is interrupted",
+		Use: "fleet [FILE]", Short: "Run only the simulated servers and their discovery service until interrupted, to try a proxy by hand",
 		Example: "  hatchlab fleet --discovery 127.0.0.1:8500 &\n  bin/hatchproxy serve --config examples/config.json",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -29,15 +29,15 @@
 				return err
 			}
 			defer servers.Stop()
-			front, err := servers.FrontAt(list)
+			front, err := servers.FrontAt(discovery)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d servers; the list is had at %s\n", len(servers.Servers), front.Address())
+			fmt.Fprintf(c.OutOrStdout(), "%d servers; discovery listens at %s\n", len(servers.Servers), front.Address())
 			<-c.Context().Done()
 			return nil
 		},
 	}
-	c.Flags().StringVar(&list, "discovery", "127.0.0.1:8500", "where the list is had")
+	c.Flags().StringVar(&discovery, "discovery", "127.0.0.1:8500", "address of the discovery service")
 	return c
 }
--- a/cmd/hatchlab/main.go
+++ b/cmd/hatchlab/main.go
@@ -1,4 +1,5 @@
-// Command hatchlab plays experiments: a stand-in fleet, an open-loop load and real proxies, judged by the rules.
+// Command hatchlab runs experiments with real proxies: it starts simulated servers and an open-loop load, causes faults, and
+// checks the results against the rules and the experiment's expectations.
 package main
 
 import (
@@ -12,15 +13,16 @@
 	"github.com/spf13/cobra"
 )
 
-// The exit codes, as every command's help tells.
+// The exit codes. Each command's help lists those that it uses.
 const (
 	exitPassed      = 0
-	exitFailed      = 1
-	exitCouldNotRun = 2
+	exitFailed      = 1 // a rule was broken or an expectation was not met
+	exitCouldNotRun = 2 // invalid arguments or files, or a run that could not be completed
 )
 
-// errChecksFailed is a run that could be played, and in which not all held.
-var errChecksFailed = errors.New("not all held")
+// errChecksFailed is returned after a completed run in which a rule was broken or an expectation was not met. Only
+// the exit code tells of it: main prints no message.
+var errChecksFailed = errors.New("checks failed")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -36,14 +38,15 @@
 	}
 }
 
+// rootCommand returns the hatchlab command with all subcommands.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "hatchlab",
-		Short: "Plays experiments with real proxies before stand-ins, and judges them by the rules",
-		Long: `hatchlab starts a fleet of stand-in servers, any number of hatchproxy processes and an open-loop load, all on
-loopback addresses, plays a script of troubles, and judges what was seen by the rules.
+		Short: "Run experiments with real proxies and simulated servers, and check the results",
+		Long: `hatchlab starts a fleet of simulated servers, any number of hatchproxy processes and an open-loop load, all on
+loopback addresses, causes the troubles that the experiment lists, and checks the results against the rules.
 
-Exit codes: 0 all that was expected held, 1 something did not (a broken rule always counts), 2 it could not run.`,
+Exit codes: 0 all expectations were met, 1 one was not met or a rule was broken, 2 it could not run.`,
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	root.AddCommand(runCommand(), checkCommand(), figuresCommand(), traceCommand(), demoCommand(), fleetCommand(), compareCommand(), costCommand(), relayCommand(), chaosCommand(), spreadCommand(), worthCommand(), soakCommand())
--- a/cmd/hatchlab/main_test.go
+++ b/cmd/hatchlab/main_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// execute runs hatchlab with the arguments and returns its standard output.
 func execute(args ...string) (string, error) {
 	var out bytes.Buffer
 	c := rootCommand()
@@ -19,7 +20,8 @@
 	return out.String(), err
 }
 
-func TestWhatCannotRunIsNotTakenForWhatFellShort(t *testing.T) {
+// Errors that keep an experiment from running must not be reported as failed checks, which have another exit code.
+func TestErrorsBeforeARunAreNoFailedChecks(t *testing.T) {
 	_, err := execute("run", "nowhere.toml")
 	require.Error(t, err)
 	require.NotErrorIs(t, err, errChecksFailed)
--- a/cmd/hatchlab/run.go
+++ b/cmd/hatchlab/run.go
@@ -19,49 +19,52 @@
 	"hatchproxy/lab/report"
 )
 
-// runner is what the commands that play have in common.
+// runner holds the flags that the commands share and runs experiments by them.
 type runner struct {
-	proxyPath  string
-	agentPath  string
-	keepFolder string
-	seeds      []uint
+	proxyPath  string // empty: build it
+	agentPath  string // empty: build it
+	keepFolder string // empty: a temporary folder for each run
+	seeds      []uint // none: those of the experiment
 	quick      bool
 	jsonPath   string
 	htmlPath   string
-	ways       []string
+	placements []string
 	quiet      bool
 	skipCost   bool
 }
 
-func (s *runner) addFlags(c *cobra.Command) {
+// addFlags declares the flags of a command that runs one experiment.
+func (r *runner) addFlags(c *cobra.Command) {
 	f := c.Flags()
-	f.StringVar(&s.proxyPath, "proxy", "", "the hatchproxy program; built from ./cmd/hatchproxy if not given")
-	f.StringVar(&s.agentPath, "agent", "", "the hatchagent program, where the experiment has agents; built if not given")
-	f.StringVar(&s.keepFolder, "keep", "", "a folder in which the proxies' configurations and logs stay")
-	f.UintSliceVar(&s.seeds, "seed", nil, "seeds to play, instead of the file's")
-	f.BoolVar(&s.quick, "quick", false, "the first seed only, at most 40 s of it: ends within 60 s")
-	f.StringVar(&s.jsonPath, "json", "", "a file for all that was seen, as JSON; - for standard output")
-	f.StringVar(&s.htmlPath, "html", "", "a file for the report, one page with pictures")
-	f.StringSliceVar(&s.ways, "way", []string{string(experiment.PlacementProxies)}, "who places the connections: proxies, or a baseline without any (random, straight, best)")
-	f.BoolVar(&s.quiet, "quiet", false, "no progress")
-	f.BoolVar(&s.skipCost, "no-cost", false, "a report without the proxy's own path beside a bare relay's (some 25 s)")
+	f.StringVar(&r.proxyPath, "proxy", "", "the hatchproxy program; built from ./cmd/hatchproxy if not given")
+	f.StringVar(&r.agentPath, "agent", "", "the hatchagent program, if the experiment has agents; built from ./cmd/hatchagent if not given")
+	f.StringVar(&r.keepFolder, "keep", "", "a folder in which the proxies' configurations and logs are kept")
+	f.UintSliceVar(&r.seeds, "seed", nil, "seeds to run instead of the file's")
+	f.BoolVar(&r.quick, "quick", false, "run only the first seed, for at most 40 s; ends within 60 s")
+	f.StringVar(&r.jsonPath, "json", "", "write all results to this file as JSON; - for standard output")
+	f.StringVar(&r.htmlPath, "html", "", "write a report with plots to this file, as one HTML page")
+	f.StringSliceVar(&r.placements, "way", []string{string(experiment.PlacementProxies)}, "who chooses the server of a connection: proxies, or a baseline without proxies (random, straight, best)")
+	f.BoolVar(&r.quiet, "quiet", false, "print no progress")
+	f.BoolVar(&r.skipCost, "no-cost", false, "leave the comparison with a bare relay out of the HTML report (it takes some 25 s)")
 }
 
-func (s *runner) progressFunc(out io.Writer) func(string, ...any) {
+// progressFunc returns a function that prints progress to out, or nothing if the runner is quiet.
+func (r *runner) progressFunc(out io.Writer) func(string, ...any) {
 	return func(format string, a ...any) {
-		if !s.quiet {
+		if !r.quiet {
 			fmt.Fprintf(out, "  "+format+"\n", a...)
 		}
 	}
 }
 
-// buildPrograms makes the proxy where none is named, and the agent where one is needed. done takes them away again.
-func (s *runner) buildPrograms(ctx context.Context, agents bool) (binary, agent string, done func(), err error) {
-	binary, proxyDone, err := findOrBuildProgram(ctx, s.proxyPath, "hatchproxy", "--proxy")
+// buildPrograms returns the paths of the proxy and, if agents is set, the agent. It builds those whose path is not given; cleanup
+// deletes what was built.
+func (r *runner) buildPrograms(ctx context.Context, agents bool) (binary, agent string, cleanup func(), err error) {
+	binary, proxyDone, err := findOrBuildProgram(ctx, r.proxyPath, "hatchproxy", "--proxy")
 	if err != nil || !agents {
 		return binary, "", proxyDone, err
 	}
-	agent, agentDone, err := findOrBuildProgram(ctx, s.agentPath, "hatchagent", "--agent")
+	agent, agentDone, err := findOrBuildProgram(ctx, r.agentPath, "hatchagent", "--agent")
 	if err != nil {
 		proxyDone()
 		return "", "", nil, err
@@ -72,10 +75,11 @@
 	}, nil
 }
 
-// findOrBuildProgram finds a program or builds it.
-func findOrBuildProgram(ctx context.Context, named, name, flag string) (binary string, done func(), err error) {
-	if named != "" {
-		binary, err := filepath.Abs(named)
+// findOrBuildProgram returns the absolute path of the program file path if one is given; otherwise it builds ./cmd/NAME into a
+// temporary folder, which cleanup deletes. The error of a failed build names the flag that sets a path.
+func findOrBuildProgram(ctx context.Context, path, name, flag string) (binary string, cleanup func(), err error) {
+	if path != "" {
+		binary, err := filepath.Abs(path)
 		if err == nil {
 			_, err = os.Stat(binary)
 		}
@@ -85,56 +89,56 @@
 	if err != nil {
 		return "", nil, err
 	}
-	done = func() { _ = os.RemoveAll(folder) }
+	cleanup = func() { _ = os.RemoveAll(folder) }
 	binary = filepath.Join(folder, name)
-	text, err := exec.CommandContext(ctx, "go", "build", "-o", binary, "./cmd/"+name).CombinedOutput()
+	output, err := exec.CommandContext(ctx, "go", "build", "-o", binary, "./cmd/"+name).CombinedOutput()
 	if err != nil {
-		done()
-		return "", nil, fmt.Errorf("%s cannot be built here; name one with %s: %w\n%s", name, flag, err, text)
+		cleanup()
+		return "", nil, fmt.Errorf("cannot build %s in this folder; give its path with %s: %w\n%s", name, flag, err, output)
 	}
-	return binary, done, nil
+	return binary, cleanup, nil
 }
 
-// selectSeeds are the seeds to play.
-func (s *runner) selectSeeds(f *experiment.File) []uint64 {
+// selectSeeds returns the seeds to run an experiment with.
+func (r *runner) selectSeeds(f *experiment.File) []uint64 {
 	seeds := f.Seeds
-	if len(s.seeds) > 0 {
+	if len(r.seeds) > 0 {
 		seeds = nil
-		for _, x := range s.seeds {
+		for _, x := range r.seeds {
 			seeds = append(seeds, uint64(x))
 		}
 	}
-	if s.quick {
+	if r.quick {
 		seeds = seeds[:1]
 	}
 	return seeds
 }
 
-// order is one run of a build.
-func (s *runner) runOnce(ctx context.Context, f *experiment.File, binary string, way experiment.Placement, seed uint64, out io.Writer) (*experiment.Result, error) {
-	folder := s.keepFolder
+// runOnce runs an experiment once, with one seed and placement. The files of the run are kept if keepFolder is set.
+func (r *runner) runOnce(ctx context.Context, f *experiment.File, binary string, placement experiment.Placement, seed uint64, out io.Writer) (*experiment.Result, error) {
+	folder := r.keepFolder
 	if folder == "" {
-		made, err := os.MkdirTemp("", "hatchlab-run-")
+		temporary, err := os.MkdirTemp("", "hatchlab-run-")
 		if err != nil {
 			return nil, err
 		}
-		defer os.RemoveAll(made)
-		folder = made
+		defer os.RemoveAll(temporary)
+		folder = temporary
 	} else {
-		// A folder for each run: agents would go on from the log of the one before.
-		folder = filepath.Join(folder, fmt.Sprintf("%s-%s-%d-%s", f.Name, way, seed, time.Now().Format("150405")))
+		// Each run needs a folder of its own, since agents would continue from the log of an earlier run.
+		folder = filepath.Join(folder, fmt.Sprintf("%s-%s-%d-%s", f.Name, placement, seed, time.Now().Format("150405")))
 		if err := os.MkdirAll(folder, 0o700); err != nil {
 			return nil, err
 		}
 	}
-	return f.Run(ctx, experiment.RunOptions{Seed: seed, Placement: way, ProxyBinary: binary, AgentBinary: s.agentPath, Dir: folder, Quick: s.quick, Logf: s.progressFunc(out)})
+	return f.Run(ctx, experiment.RunOptions{Seed: seed, Placement: placement, ProxyBinary: binary, AgentBinary: r.agentPath, Dir: folder, Quick: r.quick, Logf: r.progressFunc(out)})
 }
 
 func runCommand() *cobra.Command {
-	var s runner
+	var r runner
 	c := &cobra.Command{
 		Use:   "run FILE",
-		Short: "Play an experiment and hold it beside what it expects",
+		Short: "Run an experiment and check its expectations",
 		Example: `  hatchlab run experiments/calm.toml
   hatchlab run experiments/surge.toml --seed 7,8,9 --html surge.html --json surge.json
   hatchlab run experiments/slow-quarter.toml --way proxies,random,best --quick`,
@@ -144,88 +148,90 @@
 			if err != nil {
 				return err
 			}
-			return s.runAll(c, f)
+			return r.runAll(c, f)
 		},
 	}
-	s.addFlags(c)
+	r.addFlags(c)
 	return c
 }
 
-func (s *runner) runAll(c *cobra.Command, f *experiment.File) error {
-	binary, done := "", func() {}
+// runAll runs an experiment with each seed and placement, prints a summary of each run and writes the output files. It returns
+// errChecksFailed if a run has shortfalls.
+func (r *runner) runAll(c *cobra.Command, f *experiment.File) error {
+	binary, cleanup := "", func() {}
 	var err error
-	for _, way := range s.ways {
-		if !slices.Contains(experiment.Placements, experiment.Placement(way)) {
-			return fmt.Errorf("--way: %q is none of %v", way, experiment.Placements)
+	for _, placement := range r.placements {
+		if !slices.Contains(experiment.Placements, experiment.Placement(placement)) {
+			return fmt.Errorf("--way: %q is none of %v", placement, experiment.Placements)
 		}
 	}
-	if slices.Contains(s.ways, string(experiment.PlacementProxies)) {
+	if slices.Contains(r.placements, string(experiment.PlacementProxies)) {
 		var agent string
-		if binary, agent, done, err = s.buildPrograms(c.Context(), f.Control.Agents > 0); err != nil {
+		if binary, agent, cleanup, err = r.buildPrograms(c.Context(), f.Control.Agents > 0); err != nil {
 			return err
 		}
-		s.agentPath = agent
+		r.agentPath = agent
 	}
-	defer done()
+	defer cleanup()
 	progress := c.ErrOrStderr()
 	var results []*experiment.Result
-	good := true
-	for _, seed := range s.selectSeeds(f) {
-		for _, way := range s.ways {
-			r, err := s.runOnce(c.Context(), f, binary, experiment.Placement(way), seed, progress)
+	allPassed := true
+	for _, seed := range r.selectSeeds(f) {
+		for _, placement := range r.placements {
+			result, err := r.runOnce(c.Context(), f, binary, experiment.Placement(placement), seed, progress)
 			if err != nil {
 				return fmt.Errorf("seed %d: %w", seed, err)
 			}
-			results = append(results, r)
-			good = good && len(r.Shortfalls) == 0
-			if s.jsonPath != "-" {
-				report.WriteSummary(c.OutOrStdout(), r, isColorTerminal(c.OutOrStdout()))
+			results = append(results, result)
+			allPassed = allPassed && len(result.Shortfalls) == 0
+			if r.jsonPath != "-" {
+				report.WriteSummary(c.OutOrStdout(), result, isColorTerminal(c.OutOrStdout()))
 			}
 		}
 	}
 	var costs []*experiment.Cost
-	if s.htmlPath != "" && !s.skipCost && binary != "" {
+	if r.htmlPath != "" && !r.skipCost && binary != "" {
 		var err error
-		if costs, err = s.measureCosts(c, binary, []uint{1, 400}, 1); err != nil {
+		if costs, err = r.measureCosts(c, binary, []uint{1, 400}, 1); err != nil {
 			return err
 		}
 	}
-	if err := s.writeOutputs(c, f, results, costs); err != nil {
+	if err := r.writeOutputs(c, f, results, costs); err != nil {
 		return err
 	}
-	if !good {
+	if !allPassed {
 		return errChecksFailed
 	}
 	return nil
 }
 
-// writeOutputs leaves the files that were asked for.
-func (s *runner) writeOutputs(c *cobra.Command, f *experiment.File, results []*experiment.Result, costs []*experiment.Cost) error {
-	if s.jsonPath != "" {
+// writeOutputs writes the results as JSON and HTML, as the flags ask for.
+func (r *runner) writeOutputs(c *cobra.Command, f *experiment.File, results []*experiment.Result, costs []*experiment.Cost) error {
+	if r.jsonPath != "" {
 		text, err := json.MarshalIndent(results, "", " ")
 		if err != nil {
 			return err
 		}
-		if s.jsonPath == "-" {
+		if r.jsonPath == "-" {
 			fmt.Fprintln(c.OutOrStdout(), string(text))
-		} else if err := os.WriteFile(s.jsonPath, append(text, '\n'), 0o644); err != nil {
+		} else if err := os.WriteFile(r.jsonPath, append(text, '\n'), 0o644); err != nil {
 			return err
 		}
 	}
-	if s.htmlPath == "" {
+	if r.htmlPath == "" {
 		return nil
 	}
-	out, err := os.Create(s.htmlPath)
+	out, err := os.Create(r.htmlPath)
 	if err != nil {
 		return err
 	}
 	return errors.Join(report.WriteHTML(out, "Experiment "+f.Name, f.About, results, costs), out.Close())
 }
 
-// isColorTerminal tells whether colour makes sense.
+// isColorTerminal tells whether w is a terminal that colours may be written to. NO_COLOR turns them off.
 func isColorTerminal(w io.Writer) bool {
-	f, is := w.(*os.File)
-	if !is || os.Getenv("NO_COLOR") != "" {
+	f, ok := w.(*os.File)
+	if !ok || os.Getenv("NO_COLOR") != "" {
 		return false
 	}
 	info, err := f.Stat()
@@ -234,26 +240,26 @@
 
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "check FILE...", Short: "Read experiments and say what is wrong with them, each with file and line",
+		Use: "check FILE...", Short: "Check experiment files and print what is wrong, with file and line",
 		Example: "  hatchlab check experiments/*.toml", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			var faults []error
+			var errs []error
 			for _, path := range args {
 				f, err := experiment.Read(path)
 				if err != nil {
-					faults = append(faults, err)
+					errs = append(errs, err)
 					continue
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: good: %s\n", path, f.About)
 			}
-			return errors.Join(faults...)
+			return errors.Join(errs...)
 		},
 	}
 }
 
 func figuresCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "figures", Short: "List the figures of a run, as `expect` names them", Args: cobra.NoArgs,
+		Use: "figures", Short: "List the figures of a run by the names used in `expect`", Args: cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) {
 			for _, f := range experiment.Figures() {
 				fmt.Fprintf(c.OutOrStdout(), "%-20s %s\n", f[0], f[1])
@@ -265,7 +271,7 @@
 func traceCommand() *cobra.Command {
 	var seed uint64
 	c := &cobra.Command{
-		Use: "trace FILE", Short: "Write the arrivals of an experiment down, to be played again by `load.trace`",
+		Use: "trace FILE", Short: "Write the arrivals of an experiment as a trace, to be repeated with `load.trace`",
 		Example: "  hatchlab trace experiments/surge.toml --seed 3 > surge.trace", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			f, err := experiment.Read(args[0])
@@ -275,26 +281,28 @@
 			return f.WriteTrace(c.OutOrStdout(), seed)
 		},
 	}
-	c.Flags().Uint64Var(&seed, "seed", 1, "the seed")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the arrivals")
 	return c
 }
 
+// demoExperiment is the experiment that `hatchlab demo` runs.
+//
 //go:embed demo.toml
 var demoExperiment []byte
 
 func demoCommand() *cobra.Command {
-	var s runner
+	var r runner
 	c := &cobra.Command{
-		Use: "demo", Short: "Fleet, proxies and load in some 15 s, with a verdict", Args: cobra.NoArgs,
+		Use: "demo", Short: "Run a small experiment of some 15 s", Args: cobra.NoArgs,
 		Example: "  go run ./cmd/hatchlab demo\n  hatchlab demo --html demo.html",
 		RunE: func(c *cobra.Command, _ []string) error {
 			f, err := experiment.Parse("demo.toml", demoExperiment)
 			if err != nil {
 				return err
 			}
-			return s.runAll(c, f)
+			return r.runAll(c, f)
 		},
 	}
-	s.addFlags(c)
+	r.addFlags(c)
 	return c
 }
--- a/cmd/hatchlab/worth.go
+++ b/cmd/hatchlab/worth.go
@@ -8,7 +8,7 @@
 
 func worthCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "worth FOLDER", Short: "Where clients' seconds went, from the logs of all proxies at the level debug",
+		Use: "worth FOLDER", Short: "Account for the clients' time in a run, from the debug logs (*.log) of all proxies in a folder",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			account, err := clienttime.ReadLogs(args[0])
--- a/lab/clienttime/clienttime_test.go
+++ b/lab/clienttime/clienttime_test.go
@@ -11,9 +11,9 @@
 	"hatchproxy/lab/clienttime"
 )
 
-// Client 77 is established for two seconds and dropped by its server; another proxy defers its next request. It sends
-// the one after that to a second server, which fails, and to a third, where it is established until the client leaves. Client 88 is established at a proxy that is
-// killed, and asks again. Client 99 is deferred and doesn't ask again.
+// Client 77 is established for two seconds and dropped by its server; another proxy defers its next request. It sends the one
+// after that to a second server, which fails, and to a third, where it is established until the client leaves. Client 88 is
+// established at a proxy that is killed, and asks again. Client 99 is deferred and doesn't ask again.
 func TestAClientIsFollowedFromProxyToProxy(t *testing.T) {
 	folder := t.TempDir()
 	write := func(name string, lines ...string) {
