--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,5 +1,7 @@
-// Package agent keeps instances of hatchproxy running and brings each to what was agreed on: a replicated log of
-// commands, a keeper for each local instance, a roll of who is there, and a surface for the command-line tool.
+// Package agent runs the control-plane process of a machine. An agent starts and supervises the local instances of
+// hatchproxy and delivers operators' orders to them. Agents agree on commands through a replicated log (Raft); the state
+// that results from it says which instances run, which orders are in effect and who holds which duty. Each agent also
+// tracks whether instances and other agents respond, and serves an HTTP API for hatchctl and for other agents.
 package agent
 
 import (
@@ -23,109 +25,111 @@
 	"hatchproxy/logic"
 )
 
-// Config is an agent's configuration, as it is written down.
+// Config is an agent's configuration file, in TOML.
 type Config struct {
-	Name                 string           // the agent's, the same after a restart
-	Listen               string           // where the tool and other agents reach it: a loopback address with a port
-	LogAddress           string           `toml:"log"`     // where it listens for the other agents' logs: the same
-	AdvertisedLogAddress string           `toml:"reached"` // where they reach that, if elsewhere: behind a translation of addresses
-	SourceAddress        string           `toml:"from"`    // the address that it calls other agents from; any if missing
-	ElectionTimeout      string           `toml:"beat"`    // how long a leader may be silent until another is chosen, such as "1s"; the same for all agents
-	NonVoter             bool             `toml:"hears"`   // it has no vote at first: it hears what is agreed on
-	Duties               []string         // that it stands for: "conductor"
-	DataDir              string           `toml:"data"`     // the folder of its log, and of the instances' logs
+	Name                 string           // name of this agent; must stay the same across restarts
+	Listen               string           // loopback address and port of the HTTP API for hatchctl and other agents
+	LogAddress           string           `toml:"log"`     // loopback address and port on which other agents' Raft connections are accepted
+	AdvertisedLogAddress string           `toml:"reached"` // where other agents reach LogAddress if it differs, as behind address translation
+	SourceAddress        string           `toml:"from"`    // local address of connections to other agents; any if empty
+	ElectionTimeout      string           `toml:"beat"`    // how long a leader may be silent before an election, such as "1s"; the same for all agents
+	NonVoter             bool             `toml:"hears"`   // joins without a vote and only replicates the log
+	Duties               []string         // duties that this agent is a candidate for: "conductor"
+	DataDir              string           `toml:"data"`     // directory of the Raft log and of the instances' logs, orders and process files
 	Peers                []Peer           `toml:"peer"`     // the other agents
-	Instances            []InstanceConfig `toml:"instance"` // those that it keeps
+	Instances            []InstanceConfig `toml:"instance"` // the instances that this agent runs
 }
 
-// Peer is another agent.
+// Peer is another agent in the configuration.
 type Peer struct {
 	Name     string
-	Listen   string
-	Log      string `toml:"log"`
-	NonVoter bool   `toml:"hears"` // it has no vote at first
+	Listen   string // address of its HTTP API
+	Log      string `toml:"log"`   // address on which it accepts Raft connections
+	NonVoter bool   `toml:"hears"` // joins without a vote
 }
 
-// InstanceConfig is one that the agent keeps.
+// InstanceConfig describes an instance that the agent runs.
 type InstanceConfig struct {
 	Name           string
-	Command        []string // what starts it; --control and --orders are added
-	ControlAddress string   `toml:"control"` // where its control surface is to be
+	Command        []string // program and arguments; --control and --orders are appended
+	ControlAddress string   `toml:"control"` // address of the instance's control API
 }
 
+// namePattern matches valid names of agents and instances.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$`)
 
-// ReadConfig reads a configuration and checks it; an error tells file, line and cause.
+// ReadConfig reads and validates a configuration file. Errors name the file and the cause, and the line where it is known.
 func ReadConfig(path string) (*Config, error) {
 	text, err := transient.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	p := &Config{}
-	if err := tomlfile.Decode(path, text, p); err != nil {
+	c := &Config{}
+	if err := tomlfile.Decode(path, text, c); err != nil {
 		return nil, err
 	}
-	if err := p.validate(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return p, nil
+	return c, nil
 }
 
-func (p *Config) validate() error {
-	var faults []error
+// validate returns all problems of the configuration as one joined error.
+func (c *Config) validate() error {
+	var problems []error
 	seen := map[string]bool{}
-	name := func(what, s string) {
-		if !namePattern.MatchString(s) {
-			faults = append(faults, fmt.Errorf("%s: %.40q is no name", what, s))
+	checkName := func(key, value string) {
+		if !namePattern.MatchString(value) {
+			problems = append(problems, fmt.Errorf("%s: %.40q is not a valid name", key, value))
 		}
-		if seen[s] {
-			faults = append(faults, fmt.Errorf("%s: %q is named twice", what, s))
+		if seen[value] {
+			problems = append(problems, fmt.Errorf("%s: %q is already used as a name", key, value))
 		}
-		seen[s] = true
+		seen[value] = true
 	}
-	loopback := func(what, s string) {
-		if at, err := netip.ParseAddrPort(s); err != nil || !at.Addr().IsLoopback() {
-			faults = append(faults, fmt.Errorf("%s: %q is no loopback address with a port", what, s))
+	checkLoopback := func(key, value string) {
+		if address, err := netip.ParseAddrPort(value); err != nil || !address.Addr().IsLoopback() {
+			problems = append(problems, fmt.Errorf("%s: %q is not a loopback address with a port", key, value))
 		}
 	}
-	name("name", p.Name)
-	loopback("listen", p.Listen)
-	loopback("log", p.LogAddress)
-	if p.NonVoter && len(p.votingPeers()) == 0 {
-		faults = append(faults, errors.New("hears: no other agent votes"))
+	checkName("name", c.Name)
+	checkLoopback("listen", c.Listen)
+	checkLoopback("log", c.LogAddress)
+	if c.NonVoter && len(c.votingPeers()) == 0 {
+		problems = append(problems, errors.New("hears: no other agent is a voter"))
 	}
-	if p.AdvertisedLogAddress != "" {
-		loopback("reached", p.AdvertisedLogAddress)
+	if c.AdvertisedLogAddress != "" {
+		checkLoopback("reached", c.AdvertisedLogAddress)
 	}
-	if from, err := netip.ParseAddr(p.SourceAddress); p.SourceAddress != "" && (err != nil || !from.IsLoopback()) {
-		faults = append(faults, fmt.Errorf("from: %q is no loopback address", p.SourceAddress))
+	if source, err := netip.ParseAddr(c.SourceAddress); c.SourceAddress != "" && (err != nil || !source.IsLoopback()) {
+		problems = append(problems, fmt.Errorf("from: %q is not a loopback address", c.SourceAddress))
 	}
-	for _, duty := range p.Duties {
+	for _, duty := range c.Duties {
 		if duty != Conductor {
-			faults = append(faults, fmt.Errorf("duties: %.40q is none of %s", duty, Conductor))
+			problems = append(problems, fmt.Errorf("duties: %.40q is unknown; the only duty is %s", duty, Conductor))
 		}
 	}
-	if _, err := p.electionTimeout(); err != nil {
-		faults = append(faults, err)
+	if _, err := c.electionTimeout(); err != nil {
+		problems = append(problems, err)
 	}
-	if p.DataDir == "" {
-		faults = append(faults, errors.New("data: the folder is missing"))
+	if c.DataDir == "" {
+		problems = append(problems, errors.New("data: a directory is required"))
 	}
-	for _, peer := range p.Peers {
-		name("peer", peer.Name)
-		loopback("peer "+peer.Name+": listen", peer.Listen)
-		loopback("peer "+peer.Name+": log", peer.Log)
+	for _, peer := range c.Peers {
+		checkName("peer", peer.Name)
+		checkLoopback("peer "+peer.Name+": listen", peer.Listen)
+		checkLoopback("peer "+peer.Name+": log", peer.Log)
 	}
-	for _, i := range p.Instances {
-		name("instance", i.Name)
+	for _, i := range c.Instances {
+		checkName("instance", i.Name)
 		if len(i.Command) == 0 || i.ControlAddress == "" {
-			faults = append(faults, fmt.Errorf("instance %s: command and control are needed", i.Name))
+			problems = append(problems, fmt.Errorf("instance %s: command and control are required", i.Name))
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(problems...)
 }
 
-// Agent is one that runs.
+// Agent is a running agent.
 type Agent struct {
 	config    *Config
 	clock     *Clock
@@ -133,72 +137,76 @@
 	journal   *Journal
 	instances []*instance
 	duties    *duties
-	logReady  bool // the log is at hand: until then nothing is started, or an instance would miss what stands
+	logReady  bool // no instance is started before this is true: it could miss orders that are in effect
 
 	memberListMu sync.Mutex
 	memberList   *members.List
 }
 
+// memberList is the type of the list that withMemberList passes on.
 type memberList = *members.List
 
+// How long a member must be silent to be suspected or lost, and for how long a lost one must respond again to count as
+// alive. Instances and agents are polled every half second.
 const (
-	// An instance answers each half second; an agent as often.
 	suspectAfter = 2 * logic.Second
 	lostAfter    = 8 * logic.Second
 	recoverAfter = 5 * logic.Second
 )
 
-func (a *Agent) withMemberList(do func(memberList)) {
+// withMemberList calls use with the member list locked.
+func (a *Agent) withMemberList(use func(memberList)) {
 	a.memberListMu.Lock()
 	defer a.memberListMu.Unlock()
-	do(a.memberList)
+	use(a.memberList)
 }
 
-// Run keeps the agent until ctx ends. Its instances go on without it.
-func Run(ctx context.Context, p *Config, clock *Clock, log *slog.Logger) error {
-	log = log.With("agent", p.Name)
-	journal, err := openJournal(p)
+// Run runs an agent until ctx ends, or until its log can't be opened, joined or written. Its instances keep running afterwards.
+func Run(ctx context.Context, config *Config, clock *Clock, log *slog.Logger) error {
+	log = log.With("agent", config.Name)
+	journal, err := openJournal(config)
 	if err != nil {
 		return err
 	}
-	a := &Agent{config: p, clock: clock, log: log, journal: journal, memberList: members.New(suspectAfter, lostAfter, recoverAfter)}
+	a := &Agent{config: config, clock: clock, log: log, journal: journal, memberList: members.New(suspectAfter, lostAfter, recoverAfter)}
 	a.duties = &duties{agent: a, released: make(chan struct{}, 1)}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	for _, c := range p.Instances {
+	for _, c := range config.Instances {
 		a.memberList.Expect(a.clock.Now(), c.Name, "instance")
 		a.instances = append(a.instances, a.newInstance(c))
 	}
 	for _, peer := range a.monitoredPeers() {
 		a.memberList.Expect(a.clock.Now(), peer.Name, "agent")
 	}
-	surface, err := a.serveAPI(ctx)
+	closeAPI, err := a.serveAPI(ctx)
 	if err != nil {
 		return errors.Join(err, journal.Close())
 	}
-	log.Info("serving", "listen", p.Listen, "instances", len(p.Instances), "peers", len(p.Peers))
-	founded := make(chan error, 1)
-	go func() { founded <- a.joinOrBootstrap(ctx) }()
+	log.Info("serving", "listen", config.Listen, "instances", len(config.Instances), "peers", len(config.Peers))
+	joined := make(chan error, 1)
+	go func() { joined <- a.joinOrBootstrap(ctx) }()
 	a.awaitLog(ctx)
-	var keeping sync.WaitGroup
+	var workers sync.WaitGroup
 	for _, i := range a.instances {
-		keeping.Go(func() { i.run(ctx) })
+		workers.Go(func() { i.run(ctx) })
 	}
 	for _, peer := range a.monitoredPeers() {
-		keeping.Go(func() { a.monitorPeer(ctx, peer) })
+		workers.Go(func() { a.monitorPeer(ctx, peer) })
 	}
-	keeping.Go(func() { a.watchMembers(ctx) })
-	keeping.Go(func() { a.duties.runGrantor(ctx) })
-	if len(p.Duties) > 0 {
-		keeping.Go(func() { a.duties.runHolder(ctx) })
-		keeping.Go(func() { a.conductRollingRestarts(ctx) })
+	workers.Go(func() { a.watchMembers(ctx) })
+	workers.Go(func() { a.duties.runGrantor(ctx) })
+	if len(config.Duties) > 0 {
+		workers.Go(func() { a.duties.runHolder(ctx) })
+		workers.Go(func() { a.conductRollingRestarts(ctx) })
 	}
 	err = nil
 	select {
 	case <-ctx.Done():
-	case err = <-founded:
-		founded <- nil
-		// Only now: one that ends while it is taken out and in again would come back as nobody's voter.
+	case err = <-joined:
+		joined <- nil
+		// Not before: an agent that ends between being removed from the cluster and being added again would come back to a
+		// cluster that doesn't have it as a voter.
 		if err == nil {
 			select {
 			case <-ctx.Done():
@@ -208,18 +216,18 @@
 		}
 	}
 	cancel()
-	err = errors.Join(err, <-founded)
-	keeping.Wait()
-	return errors.Join(err, surface(), journal.Close())
+	err = errors.Join(err, <-joined)
+	workers.Wait()
+	return errors.Join(err, closeAPI(), journal.Close())
 }
 
-// logReadyTimeout is how long an agent waits for a leader before it goes on with what it knows: instances whose machine
-// comes back alone are better served with old orders than not at all.
+// logReadyTimeout is how long an agent waits for a leader at its start before it uses its stored state: on a machine that
+// comes back without contact to the others, instances that run with old orders are better than none.
 const logReadyTimeout = 5 * time.Second
 
-// awaitLog waits until the log is at hand: a leader is known, and what it had agreed on before is here.
+// awaitLog waits until a leader is known and all entries known to be committed are applied here, for at most logReadyTimeout.
 func (a *Agent) awaitLog(ctx context.Context) {
-	late := time.After(logReadyTimeout)
+	timeout := time.After(logReadyTimeout)
 	for {
 		if leader := a.journal.Leader(); leader != "" && a.journal.raft.AppliedIndex() >= a.journal.raft.CommitIndex() && a.journal.raft.CommitIndex() > 0 {
 			break
@@ -227,8 +235,8 @@
 		select {
 		case <-time.After(20 * time.Millisecond):
 			continue
-		case <-late:
-			a.log.Warn("no leader is known; instances are started with what this agent knows")
+		case <-timeout:
+			a.log.Warn("no leader is known; starting instances from the state stored on this agent")
 		case <-ctx.Done():
 		}
 		break
@@ -236,7 +244,7 @@
 	a.logReady = true
 }
 
-// watchMembers finds who has fallen silent.
+// watchMembers updates the states of silent members and logs the changes, until ctx ends.
 func (a *Agent) watchMembers(ctx context.Context) {
 	for {
 		select {
@@ -244,16 +252,16 @@
 		case <-ctx.Done():
 			return
 		}
-		a.withMemberList(func(r memberList) {
-			for _, m := range r.Tick(a.clock.Now()) {
-				a.log.Warn("a member's state", "member", m.Name, "kind", m.Kind, "state", m.State)
+		a.withMemberList(func(list memberList) {
+			for _, m := range list.Tick(a.clock.Now()) {
+				a.log.Warn("member state changed", "member", m.Name, "kind", m.Kind, "state", m.State)
 			}
 		})
 	}
 }
 
-// monitoredPeers are the agents that this one asks whether they are there: all, or those that vote at first. Guards against calls
-// that grow with the square of the fleet.
+// monitoredPeers returns the agents that this one pings: all if it is a voter, or else only the configured voters, so that the
+// number of pings does not grow with the square of the number of agents.
 func (a *Agent) monitoredPeers() []Peer {
 	if a.config.NonVoter {
 		return a.config.votingPeers()
@@ -261,31 +269,31 @@
 	return a.config.Peers
 }
 
-// electionTimeout is how long a leader may be silent: the usual, or what the file says.
-func (p *Config) electionTimeout() (time.Duration, error) {
-	if p.ElectionTimeout == "" {
+// electionTimeout returns how long a leader may be silent before an election: the configured value or the default.
+func (c *Config) electionTimeout() (time.Duration, error) {
+	if c.ElectionTimeout == "" {
 		return defaultElectionTimeout, nil
 	}
-	d, err := time.ParseDuration(p.ElectionTimeout)
+	d, err := time.ParseDuration(c.ElectionTimeout)
 	if err != nil || d < 50*time.Millisecond || d > 10*time.Second {
-		return 0, fmt.Errorf("beat: %.40q is no time from 50ms to 10s", p.ElectionTimeout)
+		return 0, fmt.Errorf("beat: %.40q is not a duration from 50ms to 10s", c.ElectionTimeout)
 	}
 	return d, nil
 }
 
-// votingPeers are the other agents that vote at first.
-func (p *Config) votingPeers() []Peer {
-	return slices.DeleteFunc(slices.Clone(p.Peers), func(other Peer) bool { return other.NonVoter })
+// votingPeers returns the other agents that are configured as voters.
+func (c *Config) votingPeers() []Peer {
+	return slices.DeleteFunc(slices.Clone(c.Peers), func(peer Peer) bool { return peer.NonVoter })
 }
 
-// monitorPeer asks another agent whether it is there.
+// monitorPeer pings another agent every half second and records its answers, until ctx ends.
 func (a *Agent) monitorPeer(ctx context.Context, peer Peer) {
-	c := newClientFrom(a.config.SourceAddress, peer.Listen)
-	defer c.Close()
+	client := newClientFrom(a.config.SourceAddress, peer.Listen)
+	defer client.Close()
 	for {
-		call, cancel := context.WithTimeout(ctx, callTimeout)
-		if err := c.Ping(call); err == nil {
-			a.withMemberList(func(r memberList) { r.RecordHeartbeat(a.clock.Now(), peer.Name) })
+		pingCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		if err := client.Ping(pingCtx); err == nil {
+			a.withMemberList(func(list memberList) { list.RecordHeartbeat(a.clock.Now(), peer.Name) })
 		}
 		cancel()
 		select {
@@ -296,76 +304,76 @@
 	}
 }
 
-// View is what an agent tells.
+// View is what an agent reports of itself and of its cluster.
 type View struct {
 	Agent           string                        `json:"agent"`
 	Leader          string                        `json:"leader"`
-	IsLeader        bool                          `json:"leads"` // this agent, in this term
+	IsLeader        bool                          `json:"leads"` // this agent leads, in Term
 	Term            uint64                        `json:"term"`
-	Voters          []string                      `json:"voters"` // as this agent has heard
-	AppliedIndex    uint64                        `json:"applied"`
-	Now             logic.Micros                  `json:"now"`
+	Voters          []string                      `json:"voters"`  // names of the voters, as far as this agent knows
+	AppliedIndex    uint64                        `json:"applied"` // index of the last log entry that this agent has applied
+	Now             logic.Micros                  `json:"now"`     // Unix time
 	Members         []members.Member              `json:"members"`
-	RecentCommands  []clusterstate.Entry          `json:"past"`
-	Orders          []clusterstate.Entry          `json:"orders"`
+	RecentCommands  []clusterstate.Entry          `json:"past"`   // oldest first
+	Orders          []clusterstate.Entry          `json:"orders"` // the latest command on each server
 	Instances       []InstanceView                `json:"instances"`
 	Duties          []DutyView                    `json:"duties,omitempty"`
-	HeldDuties      lease.Tokens                  `json:"holds,omitempty"`  // what this agent may act on at this moment, with the tokens
-	Barred          []string                      `json:"barred,omitempty"` // who is given no duty
+	HeldDuties      lease.Tokens                  `json:"holds,omitempty"`  // duties that this agent may act on at this moment, with their tokens
+	Barred          []string                      `json:"barred,omitempty"` // agents that are granted no duty
 	RollingRestarts []clusterstate.RollingRestart `json:"rolls,omitempty"`
-	SilentAgents    []string                      `json:"silent"` // agents that did not answer, with what they keep
+	SilentAgents    []string                      `json:"silent"` // agents that did not answer; their instances are missing here
 }
 
-// InstanceView is what is told of an instance.
+// InstanceView is what an agent reports of one of its instances.
 type InstanceView struct {
 	Name             string                 `json:"name"`
 	Agent            string                 `json:"agent"`
-	Control          string                 `json:"control"`
-	ShouldRun        bool                   `json:"wanted"`
-	RequestedRestart uint64                 `json:"restart"`   // the restart that is wanted last
-	CompletedRestart uint64                 `json:"restarted"` // and that was done last
+	Control          string                 `json:"control"`   // address of its control API
+	ShouldRun        bool                   `json:"wanted"`    // whether the agreed state has it running
+	RequestedRestart uint64                 `json:"restart"`   // log index of the last restart command on it
+	CompletedRestart uint64                 `json:"restarted"` // log index of the last restart command that was carried out
 	State            supervisor.State       `json:"state"`
 	MemberState      members.State          `json:"member"`
-	Failures         int                    `json:"falls"`
-	Reason           string                 `json:"why,omitempty"`
-	OrderResults     map[string]OrderResult `json:"heard"` // by server
+	Failures         int                    `json:"falls"`         // failures in a row
+	Reason           string                 `json:"why,omitempty"` // of the last failure
+	OrderResults     map[string]OrderResult `json:"heard"`         // latest answers to orders, by server UID
 	Status           *control.Status        `json:"status,omitempty"`
-	PolledAt         logic.Micros           `json:"polled"`
+	PolledAt         logic.Micros           `json:"polled"` // Unix time of the last Status; 0 if none
 }
 
-// localView is what this agent knows by itself.
+// localView returns what this agent knows without asking others.
 func (a *Agent) localView() View {
-	leads, term := a.journal.IsLeader()
-	v := View{Agent: a.config.Name, Leader: a.journal.Leader(), IsLeader: leads, Term: term, Voters: a.journal.voters(), Now: a.clock.Wall(), RecentCommands: []clusterstate.Entry{}, SilentAgents: []string{}}
-	states := map[string]members.State{}
-	a.withMemberList(func(r memberList) {
-		v.Members = r.All()
+	isLeader, term := a.journal.IsLeader()
+	v := View{Agent: a.config.Name, Leader: a.journal.Leader(), IsLeader: isLeader, Term: term, Voters: a.journal.voters(), Now: a.clock.Wall(), RecentCommands: []clusterstate.Entry{}, SilentAgents: []string{}}
+	memberStates := map[string]members.State{}
+	a.withMemberList(func(list memberList) {
+		v.Members = list.All()
 		for _, m := range v.Members {
-			states[m.Name] = m.State
+			memberStates[m.Name] = m.State
 		}
 	})
-	wishes := map[string]clusterstate.InstanceSpec{}
-	runs := map[string]bool{}
-	a.journal.ReadState(func(s *clusterstate.State) {
-		v.AppliedIndex = s.AppliedIndex
-		v.RecentCommands = append(v.RecentCommands, s.RecentCommands...)
-		v.RollingRestarts = append(v.RollingRestarts, s.RollingRestarts...)
-		for name := range s.Barred {
+	specs := map[string]clusterstate.InstanceSpec{}
+	shouldRun := map[string]bool{}
+	a.journal.ReadState(func(state *clusterstate.State) {
+		v.AppliedIndex = state.AppliedIndex
+		v.RecentCommands = append(v.RecentCommands, state.RecentCommands...)
+		v.RollingRestarts = append(v.RollingRestarts, state.RollingRestarts...)
+		for name := range state.Barred {
 			v.Barred = append(v.Barred, name)
 		}
-		for _, e := range s.Orders {
+		for _, e := range state.Orders {
 			v.Orders = append(v.Orders, e)
 		}
 		for _, i := range a.instances {
-			wishes[i.Name], runs[i.Name] = s.InstanceSpec(i.Name)
+			specs[i.Name], shouldRun[i.Name] = state.InstanceSpec(i.Name)
 		}
 	})
 	slices.Sort(v.Barred)
 	v.Duties, v.HeldDuties = a.duties.view()
 	for _, i := range a.instances {
-		x := i.view(wishes[i.Name], runs[i.Name])
-		x.MemberState = states[i.Name]
-		v.Instances = append(v.Instances, x)
+		view := i.view(specs[i.Name], shouldRun[i.Name])
+		view.MemberState = memberStates[i.Name]
+		v.Instances = append(v.Instances, view)
 	}
 	return v
 }
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -547,9 +547,9 @@
 	for text, want := range map[string]string{
 		good + "odd = 1\n":                         path + ":5: odd is unknown",
 		good + "peer = 1":                          path + ":5: ",
-		"name = \"a/b\"\nlisten = \"0.0.0.0:1\"\n": `"a/b" is no name`,
-		good + "[[instance]]\nname = \"a\"\ncontrol = \"unix:x\"\n": `"a" is named twice`,
-		good + "[[instance]]\nname = \"n\"\n":                       "command and control are needed",
+		"name = \"a/b\"\nlisten = \"0.0.0.0:1\"\n": `"a/b" is not a valid name`,
+		good + "[[instance]]\nname = \"a\"\ncontrol = \"unix:x\"\n": `"a" is already used as a name`,
+		good + "[[instance]]\nname = \"n\"\n":                       "command and control are required",
 	} {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		_, err := agent.ReadConfig(path)
--- a/agent/clock.go
+++ b/agent/clock.go
@@ -11,33 +11,34 @@
 	"hatchproxy/logic"
 )
 
-// Clock is what an agent reads the time from. Ages and waits are taken from Now, which no jump of the machine's clock moves;
-// Wall is for what is told to others as a time of day. The zero value is not ready for use.
+// Clock is an agent's source of time. Now is for ages and timeouts: it is monotonic, and changes of the system time don't affect
+// it. Wall is for times of day that are reported to others. The zero value is not ready for use.
 type Clock struct {
 	startedAt       time.Time
-	bootTimeAtStart time.Duration // what the machine's clock that goes on while it sleeps showed then
-	rate            float64       // how fast it runs beside the machine's; 1 but in tests
-	wallOffset      time.Duration // how far the time of day is off at the start; 0 but in tests
-	wallJump        time.Duration // by how much it jumps, after a while; 0 but in tests
-	wallJumpAfter   time.Duration
+	bootTimeAtStart time.Duration // value of sinceBoot at startedAt
+	rate            float64       // speed relative to the system clock; 1 outside of tests
+	wallOffset      time.Duration // added to the time of day from the start; 0 outside of tests
+	wallJump        time.Duration // added to the time of day after wallJumpAfter; 0 outside of tests
+	wallJumpAfter   time.Duration // since startedAt, by the system clock
 }
 
-// SystemClock is the machine's clock.
+// SystemClock returns a clock that follows the system clock.
 func SystemClock() *Clock {
 	return &Clock{startedAt: time.Now(), bootTimeAtStart: sinceBoot(), rate: 1}
 }
 
-// ParseTestClock makes one for tests, as "rate=1.05,off=-1h,jump=1h@2s" says: it runs that many times as fast, is off by so much at
-// the start, and jumps by so much after a while. What is not named is sound.
+// ParseTestClock returns an inaccurate clock for tests. Its text is a list such as "rate=1.05,off=-1h,jump=1h@2s": the clock runs
+// 1.05 times as fast as the system clock (0.1 to 10), its time of day is an hour behind from the start, and jumps ahead by an hour
+// after 2 s. Parts that are left out are accurate; an empty text gives SystemClock.
 func ParseTestClock(text string) (*Clock, error) {
 	c := SystemClock()
 	if text == "" {
 		return c, nil
 	}
-	for _, part := range strings.Split(text, ",") {
-		name, value, _ := strings.Cut(part, "=")
+	for _, setting := range strings.Split(text, ",") {
+		key, value, _ := strings.Cut(setting, "=")
 		var err error
-		switch name {
+		switch key {
 		case "rate":
 			c.rate, err = strconv.ParseFloat(value, 64)
 			if err == nil && !(c.rate >= 0.1 && c.rate <= 10) {
@@ -46,47 +47,49 @@
 		case "off":
 			c.wallOffset, err = time.ParseDuration(value)
 		case "jump":
-			by, at, _ := strings.Cut(value, "@")
-			if c.wallJump, err = time.ParseDuration(by); err == nil {
-				c.wallJumpAfter, err = time.ParseDuration(at)
+			jump, delay, _ := strings.Cut(value, "@")
+			if c.wallJump, err = time.ParseDuration(jump); err == nil {
+				c.wallJumpAfter, err = time.ParseDuration(delay)
 			}
 		default:
-			err = fmt.Errorf("%q is none of rate, off, jump", name)
+			err = fmt.Errorf("%q is not one of rate, off, jump", key)
 		}
 		if err != nil {
-			return nil, fmt.Errorf("test clock %q: %w", part, err)
+			return nil, fmt.Errorf("test clock %q: %w", setting, err)
 		}
 	}
 	return c, nil
 }
 
-// elapsed is how long it has run by its own count.
+// elapsed returns the time since the start as this clock counts it.
 func (c *Clock) elapsed() time.Duration {
 	return time.Duration(float64(sinceBoot()-c.bootTimeAtStart) * c.rate)
 }
 
-// sinceBoot goes on while the machine sleeps, which Go's own does not: a lease runs out meanwhile.
+// sinceBoot returns the time since the machine booted, including time in which it was suspended. Go's monotonic clock leaves that
+// out, and leases must expire while the machine is suspended.
 func sinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // there since Linux 2.6.39; without it no lease is safe
+		panic(err) // available since Linux 2.6.39; leases are not safe without it
 	}
 	return time.Duration(t.Nano())
 }
 
-// Now is a time that only grows, in microseconds; it is near Unix time and no time of day.
+// Now returns a monotonic time in microseconds. It starts at the Unix time of the clock's creation and is not adjusted to the
+// time of day afterwards.
 func (c *Clock) Now() logic.Micros {
 	return logic.Micros(c.startedAt.UnixMicro() + c.elapsed().Microseconds())
 }
 
-// Wall is the time of day, in Unix microseconds. On a sound clock it follows what the machine's is set to.
+// Wall returns the time of day in Unix microseconds. A SystemClock follows changes of the system time.
 func (c *Clock) Wall() logic.Micros {
 	if c.rate == 1 && c.wallOffset == 0 && c.wallJump == 0 {
 		return logic.Micros(time.Now().UnixMicro())
 	}
-	at := c.startedAt.Add(c.elapsed() + c.wallOffset)
+	wall := c.startedAt.Add(c.elapsed() + c.wallOffset)
 	if c.wallJump != 0 && sinceBoot()-c.bootTimeAtStart >= c.wallJumpAfter {
-		at = at.Add(c.wallJump)
+		wall = wall.Add(c.wallJump)
 	}
-	return logic.Micros(at.UnixMicro())
+	return logic.Micros(wall.UnixMicro())
 }
--- a/agent/duties.go
+++ b/agent/duties.go
@@ -16,37 +16,38 @@
 	"hatchproxy/logic"
 )
 
-// Conductor is the duty of carrying out rolling restarts.
+// Conductor is the name of the duty to carry out rolling restarts. One agent holds it at a time.
 const Conductor = "conductor"
 
-// duties are an agent's: it gives them while it leads, and holds those that it stands for.
+// duties manages an agent's part in the leases of duties: while the agent leads it grants them, and it requests and holds those
+// that it is a candidate for.
 type duties struct {
 	agent *Agent
 
 	grantorMu   sync.Mutex
-	grantor     *lease.Grantor // nil unless this agent leads and has applied all that was agreed on before
-	grantorTerm uint64         // in which it leads
+	grantor     *lease.Grantor // nil unless this agent leads and has applied all entries of earlier terms
+	grantorTerm uint64         // term in which grantor was created
 
 	holderMu sync.Mutex
 	holder   lease.Holder
 
-	released chan struct{} // a duty was given back: somebody else may have it at once
+	released chan struct{} // signals that a duty was released and can be granted at once
 
 	nextCheckMu sync.Mutex
-	nextCheck   *leadershipCheck // the one that begins next
-	verifyMu    sync.Mutex       // a round at a time
+	nextCheck   *leadershipCheck // check that has not begun yet and that new callers share; nil if none
+	verifyMu    sync.Mutex       // held during a check: one runs at a time
 }
 
 const (
-	// grantInterval is how often it is looked whether a duty is free.
+	// grantInterval is how often the leader checks whether a duty can be granted.
 	grantInterval = 100 * time.Millisecond
-	// conductInterval is how often the conductor looks how far the instances are.
+	// conductInterval is how often the conductor checks the progress of a rolling restart.
 	conductInterval = 100 * time.Millisecond
-	// leaderTimeout is how long the agent that leads may take to answer: a leader that is cut off never does.
+	// leaderTimeout is how long to wait for the leader's answer to a request: a leader that is cut off never answers.
 	leaderTimeout = 800 * time.Millisecond
 )
 
-// runGrantor has duties agreed on while this agent leads.
+// runGrantor submits grants of free duties to the log while this agent leads, until ctx ends.
 func (d *duties) runGrantor(ctx context.Context) {
 	for {
 		select {
@@ -55,44 +56,45 @@
 		case <-ctx.Done():
 			return
 		}
-		leads, term := d.agent.journal.IsLeader()
+		isLeader, term := d.agent.journal.IsLeader()
 		d.grantorMu.Lock()
-		if !leads || term != d.grantorTerm {
+		if !isLeader || term != d.grantorTerm {
 			d.grantor = nil
 		}
-		fresh := leads && d.grantor == nil
+		needsGrantor := isLeader && d.grantor == nil
 		d.grantorMu.Unlock()
-		if fresh && !d.startGrantor(term) {
+		if needsGrantor && !d.startGrantor(term) {
 			continue
 		}
-		held, barred := d.currentGrants()
+		grants, barred := d.currentGrants()
 		d.grantorMu.Lock()
 		var due map[string]lease.Grant
-		g, term := d.grantor, d.grantorTerm
-		if g != nil {
-			due = g.DueGrants(d.agent.clock.Now(), held, barred)
+		grantor, term := d.grantor, d.grantorTerm
+		if grantor != nil {
+			due = grantor.DueGrants(d.agent.clock.Now(), grants, barred)
 		}
 		d.grantorMu.Unlock()
 		for _, duty := range slices.Sorted(maps.Keys(due)) {
-			x := due[duty]
-			number, err := d.agent.journal.Submit(clusterstate.Command{ID: fmt.Sprintf("grant-%s-%d", duty, x.Token), Verb: clusterstate.Grant, Duty: duty, Holder: x.Holder, Token: x.Token, Term: term,
-				IssuedAt: d.agent.clock.Wall(), Reason: x.Reason})
+			grant := due[duty]
+			number, err := d.agent.journal.Submit(clusterstate.Command{ID: fmt.Sprintf("grant-%s-%d", duty, grant.Token), Verb: clusterstate.Grant, Duty: duty, Holder: grant.Holder, Token: grant.Token, Term: term,
+				IssuedAt: d.agent.clock.Wall(), Reason: grant.Reason})
 			d.grantorMu.Lock()
-			g.FinishGrant(duty)
+			grantor.FinishGrant(duty)
 			d.grantorMu.Unlock()
-			d.agent.log.Info("a duty is given", "duty", duty, "holder", x.Holder, "token", number, "before", held[duty].Holder, "why", x.Reason, "error", err)
+			d.agent.log.Info("duty granted", "duty", duty, "holder", grant.Holder, "token", number, "before", grants[duty].Holder, "why", grant.Reason, "error", err)
 		}
 	}
 }
 
-// startGrantor starts to give in a term: only once all that was agreed on before is applied here. Guards against a promise on a token that has
-// been replaced already.
+// startGrantor creates the grantor for a term in which this agent leads, after all earlier entries of the log have been applied
+// here: without that wait it could renew a token that has been replaced already. It returns false if the agent has not become
+// ready to grant.
 func (d *duties) startGrantor(term uint64) bool {
 	if d.agent.journal.raft.Barrier(commitTimeout).Error() != nil {
 		return false
 	}
-	leads, now := d.agent.journal.IsLeader()
-	if !leads || now != term {
+	isLeader, current := d.agent.journal.IsLeader()
+	if !isLeader || current != term {
 		return false
 	}
 	d.grantorMu.Lock()
@@ -101,88 +103,93 @@
 	return true
 }
 
-func (d *duties) currentGrants() (held map[string]lease.Grant, barred map[string]bool) {
-	d.agent.journal.ReadState(func(s *clusterstate.State) { held, barred = s.CopyDuties() })
-	return held, barred
+// currentGrants returns copies of the latest grants by duty, and of the set of agents that may be granted none.
+func (d *duties) currentGrants() (grants map[string]lease.Grant, barred map[string]bool) {
+	d.agent.journal.ReadState(func(state *clusterstate.State) { grants, barred = state.CopyDuties() })
+	return grants, barred
 }
 
-// leadershipCheck is a question to most agents whether this one still leads.
+// leadershipCheck is a check with a majority of the agents that this one still leads.
 type leadershipCheck struct {
-	done chan struct{}
+	done chan struct{} // closed when err is set
 	err  error
 }
 
-// confirmLeadership returns once it is known that this agent led at a time after the call; all that call meanwhile share the next round.
+// confirmLeadership returns nil once a majority has confirmed that this agent led at some time after the call, or an error if it
+// didn't. Calls made while a check is running share the next one.
 func (d *duties) confirmLeadership() error {
 	d.nextCheckMu.Lock()
-	r := d.nextCheck
-	if r == nil {
-		r = &leadershipCheck{done: make(chan struct{})}
-		d.nextCheck = r
+	check := d.nextCheck
+	if check == nil {
+		check = &leadershipCheck{done: make(chan struct{})}
+		d.nextCheck = check
 		go func() {
 			d.verifyMu.Lock()
 			defer d.verifyMu.Unlock()
 			d.nextCheckMu.Lock()
 			d.nextCheck = nil
 			d.nextCheckMu.Unlock()
-			r.err = d.agent.journal.raft.VerifyLeader().Error()
-			close(r.done)
+			check.err = d.agent.journal.raft.VerifyLeader().Error()
+			close(check.done)
 		}()
 	}
 	d.nextCheckMu.Unlock()
-	<-r.done
-	return r.err
+	<-check.done
+	return check.err
 }
 
+// errNotGranting is the answer of an agent that doesn't lead or is not ready to grant duties yet.
 var errNotGranting = errors.New("this agent gives no duties yet")
 
-// handleRequest answers a question, if this agent leads.
-func (d *duties) handleRequest(q lease.Request) (lease.Tokens, error) {
+// handleRequest answers a holder's request with the tokens that it may act on. It returns errNotLeader or errNotGranting if this
+// agent can't tell.
+func (d *duties) handleRequest(request lease.Request) (lease.Tokens, error) {
 	if err := d.confirmLeadership(); err != nil {
 		return nil, errNotLeader
 	}
-	leads, term := d.agent.journal.IsLeader()
-	held, barred := d.currentGrants()
+	isLeader, term := d.agent.journal.IsLeader()
+	grants, barred := d.currentGrants()
 	d.grantorMu.Lock()
 	defer d.grantorMu.Unlock()
-	// Guards against an account from before another agent led.
-	if !leads || d.grantor == nil || d.grantorTerm != term {
+	// A grantor of an earlier term doesn't know what another leader has granted since.
+	if !isLeader || d.grantor == nil || d.grantorTerm != term {
 		return nil, errNotGranting
 	}
-	if len(q.Released) > 0 {
+	if len(request.Released) > 0 {
 		select {
 		case d.released <- struct{}{}:
-		default: // it is looked already
+		default: // a wake-up is pending already
 		}
 	}
-	return d.grantor.Renew(d.agent.clock.Now(), q, held, barred), nil
+	return d.grantor.Renew(d.agent.clock.Now(), request, grants, barred), nil
 }
 
-// runHolder asks for the duties that this agent stands for, and gives back what is to be handed on.
+// runHolder keeps requesting the duties that this agent is a candidate for, and releases those that are to be transferred, until
+// ctx ends. A request is sent each lease.RenewInterval, and at once if a change of the log concerns this agent's duties.
 func (d *duties) runHolder(ctx context.Context) {
-	me := d.agent.config.Name
+	self := d.agent.config.Name
 	for ctx.Err() == nil {
 		changed := d.agent.journal.Changed()
-		sent, q := d.nextRequest(d.agent.config.Duties)
-		call, cancel := context.WithTimeout(ctx, leaderTimeout)
-		p, err := d.sendRequest(call, q)
+		sentAt, request := d.nextRequest(d.agent.config.Duties)
+		requestCtx, cancel := context.WithTimeout(ctx, leaderTimeout)
+		tokens, err := d.sendRequest(requestCtx, request)
 		cancel()
 		if err == nil {
 			d.holderMu.Lock()
-			d.holder.Update(sent, p)
+			d.holder.Update(sentAt, tokens)
 			d.holderMu.Unlock()
 		}
 		for wait := time.After(time.Duration(lease.RenewInterval) * time.Microsecond); ; {
 			select {
 			case <-changed:
 				changed = d.agent.journal.Changed()
-				held, _ := d.currentGrants()
-				concerns := false
-				for duty, h := range held {
+				grants, _ := d.currentGrants()
+				affected := false
+				for duty, grant := range grants {
 					token, holds := d.Holds(duty)
-					concerns = concerns || h.Holder == me && (h.TransferTo != "" || token != h.Token) || holds && h.Holder != me
+					affected = affected || grant.Holder == self && (grant.TransferTo != "" || token != grant.Token) || holds && grant.Holder != self
 				}
-				if !concerns {
+				if !affected {
 					continue
 				}
 			case <-wait:
@@ -191,54 +198,55 @@
 			break
 		}
 	}
-	// It leaves: what it holds is given back at once, so that nobody waits for it to run out.
-	_, q := d.nextRequest(nil)
-	call, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaderTimeout)
+	// The agent ends: it releases what it holds, so that others needn't wait for the leases to expire.
+	_, request := d.nextRequest(nil)
+	requestCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaderTimeout)
 	defer cancel()
-	_, _ = d.sendRequest(call, q) // it runs out by itself
+	_, _ = d.sendRequest(requestCtx, request) // if this fails, the leases expire
 }
 
-// nextRequest is what is asked now, and when that was, read before anything else. What is to be handed on, or is not wanted, is dropped
-// before it is given back.
+// nextRequest returns the request to send now and its send time, from which the holder counts the lease. Duties that are to be
+// transferred, or that are not in wants, are released locally before the request reports them as released.
 func (d *duties) nextRequest(wants []string) (logic.Micros, lease.Request) {
-	held, barred := d.currentGrants()
-	me := d.agent.config.Name
-	q := lease.Request{Holder: me, Duties: wants, Released: map[string]uint64{}}
+	grants, barred := d.currentGrants()
+	self := d.agent.config.Name
+	request := lease.Request{Holder: self, Duties: wants, Released: map[string]uint64{}}
 	d.holderMu.Lock()
 	defer d.holderMu.Unlock()
-	sent := d.agent.clock.Now()
-	for duty, h := range held {
-		if h.Holder == me && (h.TransferTo != "" || barred[me] || !slices.Contains(wants, duty)) {
-			d.holder.Release(sent, duty)
-			q.Released[duty] = h.Token
+	sentAt := d.agent.clock.Now()
+	for duty, grant := range grants {
+		if grant.Holder == self && (grant.TransferTo != "" || barred[self] || !slices.Contains(wants, duty)) {
+			d.holder.Release(sentAt, duty)
+			request.Released[duty] = grant.Token
 		}
 	}
-	return sent, q
+	return sentAt, request
 }
 
-// sendRequest asks the agent that leads.
-func (d *duties) sendRequest(ctx context.Context, q lease.Request) (lease.Tokens, error) {
-	if leads, _ := d.agent.journal.IsLeader(); leads {
-		return d.handleRequest(q)
+// sendRequest sends a request to the leader, which may be this agent, and returns its answer.
+func (d *duties) sendRequest(ctx context.Context, request lease.Request) (lease.Tokens, error) {
+	if isLeader, _ := d.agent.journal.IsLeader(); isLeader {
+		return d.handleRequest(request)
 	}
 	leader, err := d.agent.leaderClient()
 	if err != nil {
 		return nil, err
 	}
 	defer leader.Close()
-	var p lease.Tokens
-	return p, leader.call(ctx, http.MethodPost, "duties", q, &p)
+	var tokens lease.Tokens
+	return tokens, leader.call(ctx, http.MethodPost, "duties", request, &tokens)
 }
 
-// Holds tells by which token this agent may act on a duty now.
+// Holds reports whether this agent may act on a duty now, and with which token.
 func (d *duties) Holds(duty string) (uint64, bool) {
 	d.holderMu.Lock()
 	defer d.holderMu.Unlock()
 	return d.holder.Holds(d.agent.clock.Now(), duty)
 }
 
-// conductRollingRestarts carries out rolling restarts while this agent holds that duty, step by step as the log has them; it goes on where another
-// has stopped. Each step carries the token, and the log refuses it if the duty has been given on, or the step was done already.
+// conductRollingRestarts carries out rolling restarts while this agent holds the Conductor duty, until ctx ends. It handles one at
+// a time, in the order of their commands. Progress is kept in the log, so that another agent can continue. Each step carries the
+// token; the log refuses a step whose token is outdated or that was begun already.
 func (a *Agent) conductRollingRestarts(ctx context.Context) {
 	for {
 		select {
@@ -247,8 +255,8 @@
 			return
 		}
 		var roll *clusterstate.RollingRestart
-		a.journal.ReadState(func(s *clusterstate.State) {
-			for _, r := range s.RollingRestarts {
+		a.journal.ReadState(func(state *clusterstate.State) {
+			for _, r := range state.RollingRestarts {
 				if roll == nil && r.State == clusterstate.Running {
 					roll = &r
 				}
@@ -257,77 +265,79 @@
 		if _, holds := a.duties.Holds(Conductor); !holds || roll == nil {
 			continue
 		}
-		c := clusterstate.Command{ID: fmt.Sprintf("%s-step-%d", roll.ID, roll.StepsStarted), Verb: clusterstate.Step, RollingRestartID: roll.ID, Step: roll.StepsStarted, Duty: Conductor}
-		switch ready, why := a.checkRollingRestart(ctx, roll); {
-		case why != "":
-			c.ID, c.Verb, c.Reason = fmt.Sprintf("%s-pause-%d", roll.ID, roll.StepsStarted), clusterstate.Pause, why
+		command := clusterstate.Command{ID: fmt.Sprintf("%s-step-%d", roll.ID, roll.StepsStarted), Verb: clusterstate.Step, RollingRestartID: roll.ID, Step: roll.StepsStarted, Duty: Conductor}
+		switch ready, problem := a.checkRollingRestart(ctx, roll); {
+		case problem != "":
+			command.ID, command.Verb, command.Reason = fmt.Sprintf("%s-pause-%d", roll.ID, roll.StepsStarted), clusterstate.Pause, problem
 		case !ready:
 			continue
 		}
-		token, holds := a.duties.Holds(Conductor) // looking took a while
+		token, holds := a.duties.Holds(Conductor) // again: the check may have taken longer than the lease
 		if !holds {
 			continue
 		}
-		c.Token, c.IssuedAt = token, a.clock.Wall()
-		number, err := a.propose(ctx, c)
-		a.log.Info("a step of a rolling restart", "roll", roll.ID, "step", c.Step, "verb", c.Verb, "why", c.Reason, "token", token, "number", number, "error", err)
+		command.Token, command.IssuedAt = token, a.clock.Wall()
+		number, err := a.propose(ctx, command)
+		a.log.Info("rolling restart step", "roll", roll.ID, "step", command.Step, "verb", command.Verb, "why", command.Reason, "token", token, "number", number, "error", err)
 	}
 }
 
-// checkRollingRestart tells whether all instances of a roll are ready, those of its steps so far anew; or why it cannot go on.
-func (a *Agent) checkRollingRestart(ctx context.Context, roll *clusterstate.RollingRestart) (ready bool, why string) {
-	found := map[string]InstanceView{}
-	for _, i := range a.clusterView(ctx).Instances {
-		found[i.Name] = i
+// checkRollingRestart reports whether the next step can begin: all instances are ready, and those of the last step have been
+// restarted. problem is not empty if the rolling restart must be paused.
+func (a *Agent) checkRollingRestart(ctx context.Context, roll *clusterstate.RollingRestart) (ready bool, problem string) {
+	views := map[string]InstanceView{}
+	for _, view := range a.clusterView(ctx).Instances {
+		views[view.Name] = view
 	}
 	ready = true
 	for _, name := range roll.Instances {
-		i, known := found[name]
-		if known && i.State == supervisor.CrashLooping {
-			return false, fmt.Sprintf("%s falls again and again: %s", name, i.Reason)
+		view, known := views[name]
+		if known && view.State == supervisor.CrashLooping {
+			return false, fmt.Sprintf("%s falls again and again: %s", name, view.Reason)
 		}
-		ready = ready && known && i.State == supervisor.Ready
+		ready = ready && known && view.State == supervisor.Ready
 	}
 	for _, name := range roll.StepInstances(roll.StepsStarted - 1) {
-		ready = ready && found[name].CompletedRestart >= roll.LastStepNumber
+		ready = ready && views[name].CompletedRestart >= roll.LastStepNumber
 	}
 	return ready, ""
 }
 
-// propose has a command agreed on, by this agent or the one that leads.
-func (a *Agent) propose(ctx context.Context, c clusterstate.Command) (uint64, error) {
-	number, err := a.journal.Submit(c)
+// propose submits a command to the log, through the leader if that is another agent, and returns the command's log index.
+func (a *Agent) propose(ctx context.Context, command clusterstate.Command) (uint64, error) {
+	number, err := a.journal.Submit(command)
 	if errors.Is(err, errNotLeader) {
-		return a.forwardCommand(ctx, c)
+		return a.forwardCommand(ctx, command)
 	}
 	return number, err
 }
 
-// DutyView is what is told of a duty.
+// DutyView is what an agent reports of a duty.
 type DutyView struct {
 	Duty string `json:"duty"`
 	lease.Grant
-	// Remaining is how long its holder may still act at most, in microseconds, as the agent that leads counts it: -1 if this one does not.
+	// Remaining is for how long the holder may still act at most, in microseconds, as the leader counts it; -1 if the reporting
+	// agent is not the one that grants.
 	Remaining logic.Micros `json:"left"`
 }
 
-// view is what this agent knows of duties.
-func (d *duties) view() (all []DutyView, holds lease.Tokens) {
-	held, _ := d.currentGrants()
-	holds = lease.Tokens{}
+// view returns all duties that this agent knows of, and the tokens of those that it holds now.
+func (d *duties) view() (views []DutyView, tokens lease.Tokens) {
+	grants, _ := d.currentGrants()
+	tokens = lease.Tokens{}
 	for _, duty := range d.agent.config.Duties {
-		if token, now := d.Holds(duty); now {
-			holds[duty] = token
+		if token, holds := d.Holds(duty); holds {
+			tokens[duty] = token
 		}
 	}
 	d.grantorMu.Lock()
 	defer d.grantorMu.Unlock()
-	for _, duty := range slices.Sorted(maps.Keys(held)) {
-		v := DutyView{duty, held[duty], -1}
+	for _, duty := range slices.Sorted(maps.Keys(grants)) {
+		v := DutyView{duty, grants[duty], -1}
 		if d.grantor != nil {
 			v.Remaining = d.grantor.Remaining(d.agent.clock.Now(), v.Token)
 		}
-		all = append(all, v)
+		views = append(views, v)
 	}
-	return all, holds
+	return views, tokens
 }
