--- a/agent/bootstrap.go
+++ b/agent/bootstrap.go
@@ -14,28 +14,29 @@
 	"github.com/hashicorp/raft"
 )
 
-// An agent whose folder holds no log is a new one, or one that has lost its disk. The latter has forgotten what it voted for
-// and what it said it keeps: with its vote an agent that was cut off could lead again without what most had agreed on. So one
-// without a log hears and says nothing as a voter until every other agent has told what it holds:
-//   - none holds more than the beginning: they begin together;
-//   - any holds more: the leader takes this agent out of the voters, which needs most of the others, and then in again, as one
-//     that holds nothing. Until both are agreed on it waits; instances are kept meanwhile with what is known.
+// An agent without a log in its data directory is either new or has lost its disk. In the second case it has forgotten its votes and
+// the entries that it acknowledged: with its vote, an agent that was cut off could become leader without entries that a majority had
+// committed. An agent without a log therefore takes no part in Raft until it has asked the other voters for the state of their logs:
+//   - if all have answered and none holds more than the bootstrap entry, they bootstrap the cluster together;
+//   - if any holds more, the leader removes this agent from the cluster, which takes a majority of the others, and then adds it
+//     again as a member without entries. The agent waits until both changes are committed; meanwhile it runs its instances with
+//     what it knows.
 //
-// One that only hears comes in by the second way, without a vote. Only those that vote at first are asked.
+// A non-voter always joins in the second way, without a vote. Only the configured voters are asked.
 //
-// A disk that was set back to what it was before has forgotten as much, and looks like one that was merely away. So one that is
-// started with a log hears the leader at once, but asks what the others hold before it votes: until its own log is as new as the
-// newest of theirs it votes only for who holds that much, and stands for nothing (voice.go).
+// A disk that was restored to an earlier state has forgotten as much, and can't be told from one that was away. An agent that starts
+// with a log therefore follows the leader at once, but asks for the state of the others' logs before it votes. Until its own log is
+// as new as the newest of theirs, it votes only for candidates whose log is, and doesn't become a candidate (see guardedTransport).
 
-// peerPollInterval is how often the others are asked.
+// peerPollInterval is how often the other agents are asked for the state of their logs.
 const peerPollInterval = 100 * time.Millisecond
 
-// gate keeps other agents' logs out until it is opened.
+// gate is a listener that accepts no connections until it is opened.
 type gate struct {
 	net.Listener
 	closeOnce   sync.Once
-	openSignal  chan struct{}
-	closeSignal chan struct{}
+	openSignal  chan struct{} // closed to open the gate
+	closeSignal chan struct{} // closed by Close
 }
 
 func (g *gate) isOpen() bool {
@@ -47,6 +48,7 @@
 	}
 }
 
+// Accept waits until the gate is open, and then for a connection. It returns net.ErrClosed if the gate is closed before it is opened.
 func (g *gate) Accept() (net.Conn, error) {
 	select {
 	case <-g.openSignal:
@@ -56,41 +58,43 @@
 	}
 }
 
+// Close closes the listener and ends a waiting Accept.
 func (g *gate) Close() error {
 	g.closeOnce.Do(func() { close(g.closeSignal) })
 	return g.Listener.Close()
 }
 
-// logStatus is what an agent tells of a log.
+// logStatus describes how far an agent's log has come.
 type logStatus struct {
-	Term      uint64 `json:"term"`  // that it knows
+	Term      uint64 `json:"term"`  // the agent's current term
 	LastTerm  uint64 `json:"entry"` // the term of its last entry
-	LastIndex uint64 `json:"last"`
+	LastIndex uint64 `json:"last"`  // index of the last entry
 
-	AppliedIndex uint64 `json:"applied"` // the last entry that was agreed on and acted on here
+	AppliedIndex uint64 `json:"applied"` // index of the last committed entry that was applied here
 }
 
-// isBootstrapOnly says that there is no more than the beginning in which all voters are named: nobody has been voted for.
+// isBootstrapOnly reports whether the log holds at most the bootstrap entry, which names the voters, and no election has been held.
 func (h logStatus) isBootstrapOnly() bool { return h.LastIndex <= 1 && h.Term <= 1 }
 
-// isOlderThan tells whether a log's end is an older one: by the term of its last entry, and its number.
+// isOlderThan compares two logs as Raft does: by the term and then the index of their last entries.
 func (h logStatus) isOlderThan(other logStatus) bool {
 	return cmp.Or(cmp.Compare(h.LastTerm, other.LastTerm), cmp.Compare(h.LastIndex, other.LastIndex)) < 0
 }
 
 const (
-	// allVotersTimeout is how long an agent waits for all that vote, once most have answered: what this one has forgotten may lie with
-	// any of them. Machines start and links flap within seconds.
+	// allVotersTimeout is how long an agent waits for the answers of all voters if it has those of a majority: any of them may be the
+	// one that holds what this agent has forgotten. Machines start, and links recover, within seconds.
 	allVotersTimeout = 5 * time.Second
-	// voteRestrictionTimeout bounds how long it holds back after that: what the newest log held may never have been agreed on, and
-	// who held it may be gone for good.
+	// voteRestrictionTimeout limits how long votes stay restricted after that: the entries that only the newest log held may never
+	// have been committed, and the agent that held them may be gone for good.
 	voteRestrictionTimeout = 30 * time.Second
 )
 
-// restrictVotesUntilCaughtUp asks what the others hold, and has this agent vote as it should.
+// restrictVotesUntilCaughtUp asks the other voters for the state of their logs, and lifts the restriction on this agent's votes once
+// its own log is as new as theirs, or after voteRestrictionTimeout.
 func (a *Agent) restrictVotesUntilCaughtUp(ctx context.Context) {
 	a.journal.admitPeers()
-	rest := func() bool {
+	sleep := func() bool {
 		select {
 		case <-time.After(peerPollInterval):
 			return true
@@ -98,94 +102,96 @@
 			return false
 		}
 	}
-	others := a.config.votingPeers()
-	answered := map[string]logStatus{} // what each told last
-	look := func() (newest logStatus) {
-		for _, p := range others {
-			if h, err := a.fetchLogStatus(ctx, p); err == nil {
-				answered[p.Name] = h
+	voters := a.config.votingPeers()
+	statuses := map[string]logStatus{} // last answer by agent name
+	poll := func() (newest logStatus) {
+		for _, peer := range voters {
+			if status, err := a.fetchLogStatus(ctx, peer); err == nil {
+				statuses[peer.Name] = status
 			}
-			h := answered[p.Name]
-			newest.Term = max(newest.Term, h.Term)
-			if newest.isOlderThan(h) {
-				newest.LastTerm, newest.LastIndex = h.LastTerm, h.LastIndex
+			status := statuses[peer.Name]
+			newest.Term = max(newest.Term, status.Term)
+			if newest.isOlderThan(status) {
+				newest.LastTerm, newest.LastIndex = status.LastTerm, status.LastIndex
 			}
 		}
 		return newest
 	}
 	var newest logStatus
-	began := time.Now()
+	startedAt := time.Now()
 	for {
-		newest = look()
-		most := 2*(len(answered)+1) > len(others)+1
-		if len(answered) == len(others) || most && time.Since(began) > allVotersTimeout {
+		newest = poll()
+		hasMajority := 2*(len(statuses)+1) > len(voters)+1
+		if len(statuses) == len(voters) || hasMajority && time.Since(startedAt) > allVotersTimeout {
 			break
 		}
-		if !rest() {
+		if !sleep() {
 			return
 		}
 	}
 	if a.journal.logStatus().isOlderThan(newest) {
-		a.log.Warn("the others hold more; this agent votes only for who holds as much until it does", "last", newest.LastIndex, "last here", a.journal.logStatus().LastIndex)
-		first := newest
-		a.journal.transport.restrictVotes(&first)
-		for began = time.Now(); a.journal.logStatus().isOlderThan(newest) && time.Since(began) < voteRestrictionTimeout; {
-			if !rest() {
+		a.log.Warn("other agents have a newer log; voting only for candidates that have as much until this agent has caught up", "last", newest.LastIndex, "last here", a.journal.logStatus().LastIndex)
+		required := newest
+		a.journal.transport.restrictVotes(&required)
+		for startedAt = time.Now(); a.journal.logStatus().isOlderThan(newest) && time.Since(startedAt) < voteRestrictionTimeout; {
+			if !sleep() {
 				return
 			}
-			// Guards against waiting for what nobody holds any more: one that told the newest and now tells less has lost its disk, and
-			// with it the only loss that is promised to be borne. This agent's own disk is then sound, and merely was away.
-			now := look()
-			now.Term = newest.Term // it may have voted in any term up to that one
-			newest = now
-			a.journal.transport.restrictVotes(&now)
+			// Don't wait for entries that nobody holds any more: an agent that reported the newest log and now reports less has lost its
+			// disk. Only one lost disk at a time is tolerated, so this agent's own disk was then not set back but only away.
+			current := poll()
+			current.Term = newest.Term // this agent may have voted in any term up to that one
+			newest = current
+			a.journal.transport.restrictVotes(&current)
 		}
 	}
 	a.journal.transport.restrictVotes(nil)
 }
 
-// fetchLogStatus asks an agent what its log holds.
-func (a *Agent) fetchLogStatus(ctx context.Context, p Peer) (h logStatus, err error) {
-	c := newClientFrom(a.config.SourceAddress, p.Listen)
-	defer c.Close()
-	return c.logStatus(ctx)
+// fetchLogStatus asks another agent for the state of its log.
+func (a *Agent) fetchLogStatus(ctx context.Context, peer Peer) (status logStatus, err error) {
+	client := newClientFrom(a.config.SourceAddress, peer.Listen)
+	defer client.Close()
+	return client.logStatus(ctx)
 }
 
-func (c *Client) logStatus(ctx context.Context) (h logStatus, err error) {
+// logStatus asks the agent for the state of its log.
+func (c *Client) logStatus(ctx context.Context) (status logStatus, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err = c.call(ctx, http.MethodGet, "log", nil, &h)
-	return h, err
+	err = c.call(ctx, http.MethodGet, "log", nil, &status)
+	return status, err
 }
 
-// logStatus tells of this agent's log.
+// logStatus returns the state of this agent's log.
 func (j *Journal) logStatus() logStatus {
-	var h logStatus
-	h.Term, h.LastIndex, h.AppliedIndex = j.raft.CurrentTerm(), j.raft.LastIndex(), j.raft.AppliedIndex()
-	var l raft.Log
-	if j.store.GetLog(h.LastIndex, &l) == nil { // else it is in a snapshot: 0 is never newer
-		h.LastTerm = l.Term
+	var status logStatus
+	status.Term, status.LastIndex, status.AppliedIndex = j.raft.CurrentTerm(), j.raft.LastIndex(), j.raft.AppliedIndex()
+	var last raft.Log
+	if j.store.GetLog(status.LastIndex, &last) == nil { // otherwise the entry is in a snapshot, and LastTerm 0 counts as older
+		status.LastTerm = last.Term
 	}
-	return h
+	return status
 }
 
-// joinOrBootstrap brings an agent without a log to one, and has one that has a log prove it. It returns when it takes part.
+// joinOrBootstrap lets an agent without a log bootstrap the cluster or rejoin it, and restricts the votes of one with a log until it
+// has caught up. It returns when the agent takes full part in the cluster, or nil when ctx ends; errors are those of the bootstrap.
 func (a *Agent) joinOrBootstrap(ctx context.Context) error {
 	if a.journal.hadState {
 		a.restrictVotesUntilCaughtUp(ctx)
 		return nil
 	}
 	for {
-		more, all := a.pollVoters(ctx)
+		clusterExists, allAnswered := a.pollVoters(ctx)
 		switch {
-		case more:
+		case clusterExists:
 			if err := a.rejoinCluster(ctx); err != nil {
-				a.log.Warn("the others have a log and this agent has none; it is not taken in yet", "error", err)
+				a.log.Warn("other agents have a log and this agent has none; rejoining failed and will be retried", "error", err)
 				break
 			}
-			a.log.Warn("this agent had lost its log and was taken in anew")
+			a.log.Warn("this agent had no log and has rejoined the cluster")
 			return nil
-		case all:
+		case allAnswered:
 			return a.journal.bootstrap()
 		}
 		select {
@@ -196,22 +202,23 @@
 	}
 }
 
-// pollVoters asks the other agents what they hold: whether any holds more than the beginning, and whether all have answered.
-func (a *Agent) pollVoters(ctx context.Context) (more, all bool) {
-	all = !a.config.NonVoter // one that only hears begins nothing
-	for _, p := range a.config.votingPeers() {
-		h, err := a.fetchLogStatus(ctx, p)
-		more, all = more || err == nil && !h.isBootstrapOnly(), all && err == nil
+// pollVoters asks the other voters for the state of their logs. clusterExists is true if any holds more than the bootstrap entry;
+// allAnswered is always false for a non-voter, which must not bootstrap a cluster.
+func (a *Agent) pollVoters(ctx context.Context) (clusterExists, allAnswered bool) {
+	allAnswered = !a.config.NonVoter // a non-voter bootstraps nothing
+	for _, peer := range a.config.votingPeers() {
+		status, err := a.fetchLogStatus(ctx, peer)
+		clusterExists, allAnswered = clusterExists || err == nil && !status.isBootstrapOnly(), allAnswered && err == nil
 	}
-	return more, all
+	return clusterExists, allAnswered
 }
 
-// rejoinCluster has the leader take this agent out, opens the log to the others, and has it taken in again.
+// rejoinCluster has the leader remove this agent from the cluster, admits Raft connections, and has the leader add it again.
 func (a *Agent) rejoinCluster(ctx context.Context) error {
 	if err := a.requestVoterChange(ctx, "forget"); err != nil {
 		return err
 	}
-	a.journal.transport.restrictVotes(nil) // whatever it had agreed to, most of the others hold by now
+	a.journal.transport.restrictVotes(nil) // by now a majority of the others holds everything that this agent may have acknowledged
 	a.journal.admitPeers()
 	if a.config.NonVoter {
 		return a.requestVoterChange(ctx, "demote")
@@ -219,53 +226,53 @@
 	return a.requestVoterChange(ctx, "promote")
 }
 
-// requestVoterChange asks any agent for a change of the voters that concerns this one.
-func (a *Agent) requestVoterChange(ctx context.Context, what string) error {
-	var faults []error
-	for _, p := range a.config.votingPeers() {
-		c := newClientFrom(a.config.SourceAddress, p.Listen)
-		call, cancel := context.WithTimeout(ctx, 2*commitTimeout)
-		err := c.call(call, http.MethodPost, "voters", voterChange{Name: a.config.Name, Action: what}, nil)
+// requestVoterChange asks the other voters, one after the other, for a change of this agent's membership until one has carried it out.
+func (a *Agent) requestVoterChange(ctx context.Context, action string) error {
+	var failures []error
+	for _, peer := range a.config.votingPeers() {
+		client := newClientFrom(a.config.SourceAddress, peer.Listen)
+		callCtx, cancel := context.WithTimeout(ctx, 2*commitTimeout)
+		err := client.call(callCtx, http.MethodPost, "voters", voterChange{Name: a.config.Name, Action: action}, nil)
 		cancel()
-		c.Close()
+		client.Close()
 		if err == nil {
 			return nil
 		}
-		faults = append(faults, fmt.Errorf("%s: %w", p.Name, err))
+		failures = append(failures, fmt.Errorf("%s: %w", peer.Name, err))
 	}
-	return errors.Join(faults...)
+	return errors.Join(failures...)
 }
 
-// voterChange is one of the voters.
+// voterChange is a request to change the membership of an agent in the cluster.
 type voterChange struct {
-	Name   string `json:"name"`
-	Action string `json:"what"` // promote, demote (it hears, without a vote) or forget
+	Name   string `json:"name"` // of the agent to change
+	Action string `json:"what"` // "promote" (add as a voter), "demote" (make or add as a non-voter) or "forget" (remove)
 }
 
-// changeVoters has the leader change them; another agent passes it on once.
-func (a *Agent) changeVoters(ctx context.Context, c voterChange, passed bool) error {
-	at, known := a.journal.logAddresses[c.Name]
+// changeVoters carries out a change if this agent leads. Otherwise it forwards it to the leader, unless it was forwarded already.
+func (a *Agent) changeVoters(ctx context.Context, change voterChange, forwarded bool) error {
+	peerAddress, known := a.journal.logAddresses[change.Name]
 	if !known {
-		return fmt.Errorf("no agent is called %.40q", c.Name)
+		return fmt.Errorf("no agent is called %.40q", change.Name)
 	}
-	id, address := raft.ServerID(c.Name), raft.ServerAddress(at)
-	var f raft.IndexFuture
-	switch c.Action {
+	id, address := raft.ServerID(change.Name), raft.ServerAddress(peerAddress)
+	var future raft.IndexFuture
+	switch change.Action {
 	case "forget":
-		f = a.journal.raft.RemoveServer(id, 0, commitTimeout)
+		future = a.journal.raft.RemoveServer(id, 0, commitTimeout)
 	case "promote":
-		f = a.journal.raft.AddVoter(id, address, 0, commitTimeout)
+		future = a.journal.raft.AddVoter(id, address, 0, commitTimeout)
 	case "demote":
-		if slices.Contains(a.journal.voters(), c.Name) {
-			f = a.journal.raft.DemoteVoter(id, 0, commitTimeout)
+		if slices.Contains(a.journal.voters(), change.Name) {
+			future = a.journal.raft.DemoteVoter(id, 0, commitTimeout)
 		} else {
-			f = a.journal.raft.AddNonvoter(id, address, 0, commitTimeout)
+			future = a.journal.raft.AddNonvoter(id, address, 0, commitTimeout)
 		}
 	default:
-		return fmt.Errorf("%.40q is none of promote, demote and forget", c.Action)
+		return fmt.Errorf("%.40q is none of promote, demote and forget", change.Action)
 	}
-	err := f.Error()
-	if !errors.Is(err, raft.ErrNotLeader) || passed {
+	err := future.Error()
+	if !errors.Is(err, raft.ErrNotLeader) || forwarded {
 		return err
 	}
 	leader, err := a.leaderClient()
@@ -273,41 +280,41 @@
 		return err
 	}
 	defer leader.Close()
-	return leader.call(ctx, http.MethodPost, "voters?passed=1", c, nil)
+	return leader.call(ctx, http.MethodPost, "voters?passed=1", change, nil)
 }
 
-// voters are those that vote, as this agent has heard; sorted.
+// voters returns the sorted names of the voters, as far as this agent knows.
 func (j *Journal) voters() []string {
 	names := []string{}
-	f := j.raft.GetConfiguration()
-	if f.Error() != nil {
+	future := j.raft.GetConfiguration()
+	if future.Error() != nil {
 		return names
 	}
-	for _, s := range f.Configuration().Servers {
-		if s.Suffrage == raft.Voter {
-			names = append(names, string(s.ID))
+	for _, server := range future.Configuration().Servers {
+		if server.Suffrage == raft.Voter {
+			names = append(names, string(server.ID))
 		}
 	}
 	slices.Sort(names)
 	return names
 }
 
-// bootstrap starts the log with all agents as voters, and opens it to them.
+// bootstrap starts the log with all agents but the non-voters as voters, lifts the restriction on votes, and admits Raft connections.
 func (j *Journal) bootstrap() error {
-	var all raft.Configuration
-	for name, at := range j.logAddresses {
+	var cluster raft.Configuration
+	for name, address := range j.logAddresses {
 		if slices.Contains(j.nonvoters, name) {
-			continue // it is taken in when it comes
+			continue // it is added when it asks to join
 		}
-		all.Servers = append(all.Servers, raft.Server{ID: raft.ServerID(name), Address: raft.ServerAddress(at)})
+		cluster.Servers = append(cluster.Servers, raft.Server{ID: raft.ServerID(name), Address: raft.ServerAddress(address)})
 	}
-	slices.SortFunc(all.Servers, func(x, y raft.Server) int {
+	slices.SortFunc(cluster.Servers, func(x, y raft.Server) int {
 		if x.ID < y.ID {
 			return -1
 		}
 		return 1
 	})
-	err := j.raft.BootstrapCluster(all).Error()
+	err := j.raft.BootstrapCluster(cluster).Error()
 	j.transport.restrictVotes(nil)
 	j.admitPeers()
 	return err
--- a/agent/export_test.go
+++ b/agent/export_test.go
@@ -1,12 +1,12 @@
 package agent
 
-// SaveProcess writes down that an instance's process is the one with this number.
+// SaveProcess saves a running process as an instance's in its process file.
 func SaveProcess(path string, pid int) error {
-	_, start := kernelStartTime(pid)
-	return (&process{PID: pid, StartTime: start}).save(path)
+	_, startTime := kernelStartTime(pid)
+	return (&process{PID: pid, StartTime: startTime}).save(path)
 }
 
-// FindProcess is the number of the instance's process that is written down and runs; 0 if none does.
+// FindProcess returns the PID of the running process that a process file names; 0 if there is none.
 func FindProcess(path string) int {
 	if p := findRunningProcess(path); p != nil {
 		return p.PID
--- a/agent/instance.go
+++ b/agent/instance.go
@@ -18,69 +18,71 @@
 	"hatchproxy/orders"
 )
 
-// OrderResult is what an instance answered to an order.
+// OrderResult is an instance's answer to an order.
 type OrderResult struct {
-	Number     uint64         `json:"number"`
+	Number     uint64         `json:"number"` // log index of the order
 	Verdict    orders.Verdict `json:"verdict"`
 	Reason     string         `json:"why,omitempty"`
-	ReceivedAt logic.Micros   `json:"at"` // Unix time at which the instance heard it
+	ReceivedAt logic.Micros   `json:"at"` // Unix time at which the instance received the order
 }
 
-// instance is one that this agent keeps. A goroutine of its own does all that concerns it; the fields below the gap are
-// guarded by the lock.
+// instance is an instance of hatchproxy that this agent runs. All work on it is done in one goroutine, which calls run; the fields
+// below mu are also read by others and are guarded by it.
 type instance struct {
 	InstanceConfig
 	agent              *Agent
 	control            *control.Client
-	process            *process
+	process            *process // nil if none is running
 	supervisor         *supervisor.Supervisor
-	processStartMicros int64 // when the process that was heard last started
+	processStartMicros int64 // start time that the last polled process reported; 0 if none has answered yet
 
 	mu               sync.Mutex
-	orderResults     map[string]OrderResult // by server
-	status           *control.Status
-	polledAt         logic.Micros
+	orderResults     map[string]OrderResult // by server UID
+	status           *control.Status        // last answer; nil if none
+	polledAt         logic.Micros           // Unix time of status
 	state            supervisor.State
-	failures         int
+	failures         int // in a row
 	reason           string
-	completedRestart uint64
+	completedRestart uint64 // log index of the last restart command that was carried out
 }
 
 const (
-	// pollInterval is how often an instance is asked how it is; the answer is its heartbeat.
+	// pollInterval is how often an instance is asked for its status. The answer counts as its heartbeat.
 	pollInterval = 500 * logic.Millisecond
-	// callTimeout is how long it may take: one that is stopped answers when it goes on, and until then each try waits
-	// in its socket and counts the moment it wakes.
+	// callTimeout is how long an answer may take. A stopped process answers once it continues; the calls made until then wait in
+	// its socket and are handled at that moment.
 	callTimeout = time.Second
-	// superviseInterval is how often a process is looked after where nothing else happens.
+	// superviseInterval is how often an instance is checked while the agreed state doesn't change.
 	superviseInterval = 50 * time.Millisecond
 )
 
-func (a *Agent) newInstance(c InstanceConfig) *instance {
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(a.config.Name + "/" + c.Name))
-	return &instance{InstanceConfig: c, agent: a, control: control.NewClient(c.ControlAddress), supervisor: supervisor.New(int64(h.Sum64())), orderResults: map[string]OrderResult{},
+// newInstance returns an instance that is not running. Its restart delays are seeded by the names of agent and instance.
+func (a *Agent) newInstance(config InstanceConfig) *instance {
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(a.config.Name + "/" + config.Name))
+	return &instance{InstanceConfig: config, agent: a, control: control.NewClient(config.ControlAddress), supervisor: supervisor.New(int64(hash.Sum64())), orderResults: map[string]OrderResult{},
 		state: supervisor.Stopped}
 }
 
+// path returns the file of a kind ("process", "orders" or "log") in the data directory.
 func (i *instance) path(kind string) string {
 	return filepath.Join(i.agent.config.DataDir, i.Name+"."+kind)
 }
 
-// run keeps the instance until ctx ends; the process goes on then.
+// run supervises the instance until ctx ends. The process keeps running afterwards.
 func (i *instance) run(ctx context.Context) {
 	if i.process = findRunningProcess(i.path("process")); i.process != nil {
 		i.supervisor.Adopt(i.agent.clock.Now(), i.process.RestartNumber, false)
-		i.agent.log.Info("an instance was found running", "instance", i.Name, "pid", i.process.PID)
+		i.agent.log.Info("adopted a running instance", "instance", i.Name, "pid", i.process.PID)
 	}
-	next := logic.Micros(0)
+	nextPoll := logic.Micros(0)
 	for ctx.Err() == nil {
 		changed := i.agent.journal.Changed()
 		i.loadDesiredState()
 		i.superviseProcess(ctx)
 		if i.process != nil {
-			if i.agent.clock.Now() >= next {
-				next = i.agent.clock.Now() + pollInterval
+			if i.agent.clock.Now() >= nextPoll {
+				nextPoll = i.agent.clock.Now() + pollInterval
 				i.pollStatus(ctx)
 			}
 			i.sendOrders(ctx)
@@ -98,61 +100,61 @@
 	i.control.Close()
 }
 
-// loadDesiredState takes over what is agreed on.
+// loadDesiredState passes the agreed state of the instance on to the supervisor.
 func (i *instance) loadDesiredState() {
-	i.agent.journal.ReadState(func(s *clusterstate.State) {
-		w, run := s.InstanceSpec(i.Name)
-		i.supervisor.SetDesired(i.agent.clock.Now(), run && i.agent.logReady, w.LastRestart)
+	i.agent.journal.ReadState(func(state *clusterstate.State) {
+		spec, shouldRun := state.InstanceSpec(i.Name)
+		i.supervisor.SetDesired(i.agent.clock.Now(), shouldRun && i.agent.logReady, spec.LastRestart)
 	})
 }
 
-// superviseProcess looks after the process.
+// superviseProcess reports an exit of the process to the supervisor and carries out the supervisor's next action.
 func (i *instance) superviseProcess(ctx context.Context) {
 	if i.process != nil {
-		if over, why := i.process.hasExited(); over {
+		if exited, reason := i.process.hasExited(); exited {
 			i.process = nil
-			i.supervisor.ReportExit(i.agent.clock.Now(), why)
+			i.supervisor.ReportExit(i.agent.clock.Now(), reason)
 			i.clearStatus()
-			if s, falls, _ := i.supervisor.State(); s == supervisor.CrashLooping {
-				i.agent.log.Error("an instance falls again and again", "instance", i.Name, "falls", falls, "why", why)
+			if state, failures, _ := i.supervisor.State(); state == supervisor.CrashLooping {
+				i.agent.log.Error("instance is crash-looping", "instance", i.Name, "falls", failures, "why", reason)
 			}
 		}
 	}
-	do, _ := i.supervisor.NextAction(i.agent.clock.Now())
-	switch do {
+	action, _ := i.supervisor.NextAction(i.agent.clock.Now())
+	switch action {
 	case supervisor.Start:
 		if !i.adoptProcess(ctx) {
 			i.startProcess()
 		}
 	case supervisor.Terminate:
-		i.agent.withMemberList(func(r memberList) { r.MarkLeft(i.agent.clock.Now(), i.Name) })
+		i.agent.withMemberList(func(list memberList) { list.MarkLeft(i.agent.clock.Now(), i.Name) })
 		i.process.signal(syscall.SIGTERM)
 	case supervisor.Kill:
-		i.agent.log.Warn("an instance is killed: it was not ready, or did not leave, in time", "instance", i.Name)
+		i.agent.log.Warn("killing instance: it did not become ready, or did not exit, in time", "instance", i.Name)
 		i.process.signal(syscall.SIGKILL)
 	}
 }
 
-// adoptProcess takes over a process that an agent before this one has started and not written down any more, since it was
-// killed between the two: it is found by its control surface. Guards against a second process beside it. True also where
-// somebody is there and does not answer.
+// adoptProcess takes over a process that answers at the instance's control address. An earlier agent that was killed between
+// starting a process and saving its process file leaves such a process, and a second one must not be started beside it. It also
+// returns true if something accepts the call and doesn't answer, which counts as a failed start.
 func (i *instance) adoptProcess(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	st, err := i.control.Status(ctx)
+	status, err := i.control.Status(ctx)
 	switch {
-	case err == nil && st.PID > 1:
-		p := &process{PID: st.PID}
-		there, start := kernelStartTime(st.PID)
-		if !there {
+	case err == nil && status.PID > 1:
+		p := &process{PID: status.PID}
+		running, startTime := kernelStartTime(status.PID)
+		if !running {
 			return false
 		}
-		p.StartTime, p.RestartNumber = start, savedRestartNumber(i.path("process"))
+		p.StartTime, p.RestartNumber = startTime, savedRestartNumber(i.path("process"))
 		i.process = p
-		i.supervisor.Adopt(i.agent.clock.Now(), p.RestartNumber, st.Ready)
-		i.agent.log.Info("an instance was found by its control surface", "instance", i.Name, "pid", p.PID)
+		i.supervisor.Adopt(i.agent.clock.Now(), p.RestartNumber, status.Ready)
+		i.agent.log.Info("adopted an instance that answers at its control address", "instance", i.Name, "pid", p.PID)
 		if err := p.save(i.path("process")); err != nil {
-			i.agent.log.Error("it cannot be written down which process an instance is", "instance", i.Name, "error", err)
+			i.agent.log.Error("cannot save the process file of an instance", "instance", i.Name, "error", err)
 		}
 		return true
 	case errors.Is(err, context.DeadlineExceeded):
@@ -162,18 +164,18 @@
 	return false
 }
 
-// startProcess starts the process, with the orders that stand in a file that it reads before it takes any work.
+// startProcess starts the process. The orders in effect are passed in a file that it reads before it accepts any work.
 func (i *instance) startProcess() {
-	var held []orders.Order
-	i.agent.journal.ReadState(func(s *clusterstate.State) { held = s.OrdersForTerm(i.agent.journal.Term()) })
-	text, err := json.Marshal(held)
+	var current []orders.Order
+	i.agent.journal.ReadState(func(state *clusterstate.State) { current = state.OrdersForTerm(i.agent.journal.Term()) })
+	text, err := json.Marshal(current)
 	if err == nil {
 		err = writeFileAtomically(i.path("orders"), text)
 	}
 	if err == nil {
 		command := append(append([]string{}, i.Command...), "--control", i.ControlAddress, "--orders", i.path("orders"))
 		i.supervisor.ReportStarted(i.agent.clock.Now())
-		// What it is started for is written down first: whoever finds the process knows it by that.
+		// The restart is saved before the start, so that an agent that finds the process knows which restart it belongs to.
 		err = (&process{RestartNumber: i.supervisor.LastRestart()}).save(i.path("process"))
 		if err == nil {
 			i.process, err = startProcess(command, i.path("log"), i.supervisor.LastRestart())
@@ -183,95 +185,96 @@
 		}
 	}
 	if err != nil {
-		i.agent.log.Error("an instance cannot be started", "instance", i.Name, "error", err)
+		i.agent.log.Error("cannot start instance", "instance", i.Name, "error", err)
 		if i.process == nil {
 			i.supervisor.ReportExit(i.agent.clock.Now(), err.Error())
 		}
 	}
 }
 
-// clearStatus drops what one that has ended had answered.
+// clearStatus drops the answers of a process that has exited.
 func (i *instance) clearStatus() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.orderResults, i.status, i.processStartMicros = map[string]OrderResult{}, nil, 0
 }
 
-// pollStatus asks how the instance is.
+// pollStatus asks the instance for its status. An answer of a process that is not exiting counts as a heartbeat.
 func (i *instance) pollStatus(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	st, err := i.control.Status(ctx)
+	status, err := i.control.Status(ctx)
 	if err != nil {
 		return
 	}
-	if i.process == nil || st.PID != i.process.PID {
-		return // another's socket, or one that is about to go
+	if i.process == nil || status.PID != i.process.PID {
+		return // another process owns the socket, or the process is about to exit
 	}
-	if st.StartedMicros != i.processStartMicros {
+	if status.StartedMicros != i.processStartMicros {
 		i.clearStatus()
-		i.processStartMicros = st.StartedMicros
+		i.processStartMicros = status.StartedMicros
 	}
 	i.mu.Lock()
-	i.status, i.polledAt = &st, i.agent.clock.Wall()
+	i.status, i.polledAt = &status, i.agent.clock.Wall()
 	i.mu.Unlock()
-	if st.Ready && !st.Leaving {
+	if status.Ready && !status.Leaving {
 		i.supervisor.ReportReady(i.agent.clock.Now())
 	}
-	if state, _, _ := i.supervisor.State(); state == supervisor.Leaving || st.Leaving {
-		return // its last answers are no return
+	if state, _, _ := i.supervisor.State(); state == supervisor.Leaving || status.Leaving {
+		return // the last answers of an exiting process don't make it a live member again
 	}
 	i.agent.withMemberList(func(r memberList) { r.RecordHeartbeat(i.agent.clock.Now(), i.Name) })
 }
 
-// sendOrders gives the instance the orders that it has not answered yet, oldest first.
+// sendOrders sends the instance the orders that it has not answered yet, oldest first. It stops at the first call that fails.
 func (i *instance) sendOrders(ctx context.Context) {
 	if i.processStartMicros == 0 {
-		return // nobody has answered there yet; it started with what stood
+		return // the process has not answered yet; it was started with the orders in effect
 	}
-	var held []orders.Order
-	i.agent.journal.ReadState(func(s *clusterstate.State) { held = s.OrdersForTerm(i.agent.journal.Term()) })
-	for _, o := range held {
+	var current []orders.Order
+	i.agent.journal.ReadState(func(state *clusterstate.State) { current = state.OrdersForTerm(i.agent.journal.Term()) })
+	for _, order := range current {
 		i.mu.Lock()
-		done := i.orderResults[o.ServerUID].Number >= o.Number
+		answered := i.orderResults[order.ServerUID].Number >= order.Number
 		i.mu.Unlock()
-		if done {
+		if answered {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
-		ans, err := i.control.ApplyOrder(ctx, o)
+		answer, err := i.control.ApplyOrder(ctx, order)
 		cancel()
-		var no *control.RefusedError
+		var refused *control.RefusedError
 		switch {
-		case errors.As(err, &no) && no.Status < 500 && no.Status != 429:
-			// It answers and does not understand: a version of another control protocol, most likely.
-			ans = orders.Answer{Verdict: orders.Refused, Reason: no.Reason, ReceivedAt: i.agent.clock.Wall()}
+		case errors.As(err, &refused) && refused.Status < 500 && refused.Status != 429:
+			// The instance rejects the call itself; most likely it speaks another version of the control protocol.
+			answer = orders.Answer{Verdict: orders.Refused, Reason: refused.Reason, ReceivedAt: i.agent.clock.Wall()}
 		case err != nil:
 			return
 		}
-		i.recordAnswer(o, ans)
+		i.recordAnswer(order, answer)
 	}
 }
 
-func (i *instance) recordAnswer(o orders.Order, ans orders.Answer) {
+// recordAnswer stores the answer to an order. Repeated counts as Obeyed.
+func (i *instance) recordAnswer(order orders.Order, answer orders.Answer) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	h := OrderResult{o.Number, ans.Verdict, ans.Reason, ans.ReceivedAt}
-	if ans.Verdict == orders.Repeated {
-		h.Verdict = orders.Obeyed // it was heard before: by the file at its start, or by a call whose answer was lost
+	result := OrderResult{order.Number, answer.Verdict, answer.Reason, answer.ReceivedAt}
+	if answer.Verdict == orders.Repeated {
+		result.Verdict = orders.Obeyed // received before, from the file at the start or by a call whose answer was lost
 	}
-	i.orderResults[o.ServerUID] = h
-	i.agent.log.Log(context.Background(), slog.LevelInfo, "an order was heard", "instance", i.Name, "order", o.ID, "verdict", h.Verdict, "why", h.Reason)
+	i.orderResults[order.ServerUID] = result
+	i.agent.log.Log(context.Background(), slog.LevelInfo, "instance answered an order", "instance", i.Name, "order", order.ID, "verdict", result.Verdict, "why", result.Reason)
 }
 
-// view is what is told of an instance.
-func (i *instance) view(wish clusterstate.InstanceSpec, run bool) InstanceView {
+// view returns the agent's report on the instance.
+func (i *instance) view(spec clusterstate.InstanceSpec, shouldRun bool) InstanceView {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	v := InstanceView{Name: i.Name, Agent: i.agent.config.Name, Control: i.ControlAddress, ShouldRun: run, RequestedRestart: wish.LastRestart, CompletedRestart: i.completedRestart,
+	v := InstanceView{Name: i.Name, Agent: i.agent.config.Name, Control: i.ControlAddress, ShouldRun: shouldRun, RequestedRestart: spec.LastRestart, CompletedRestart: i.completedRestart,
 		State: i.state, Failures: i.failures, Reason: i.reason, OrderResults: map[string]OrderResult{}, Status: i.status, PolledAt: i.polledAt}
-	for server, h := range i.orderResults {
-		v.OrderResults[server] = h
+	for server, result := range i.orderResults {
+		v.OrderResults[server] = result
 	}
 	return v
 }
