--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -31,16 +31,16 @@
 	"hatchproxy/orders"
 )
 
-// The test's own program plays the agents, which are to be killed, and stand-ins for instances: they hear orders as a
-// proxy does, and serve nobody.
+// TestMain lets the test binary also run as an agent, which tests can kill, and as a stub of an instance, which handles orders as a
+// proxy does and serves no clients.
 func TestMain(m *testing.M) {
-	quiet := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
 	switch os.Getenv("HATCH_ROLE") {
 	case "agent":
 		signal.Ignore(syscall.SIGXFSZ)
-		plan, err := agent.ReadConfig(os.Args[1])
+		config, err := agent.ReadConfig(os.Args[1])
 		if err == nil {
-			err = agent.Run(context.Background(), plan, agent.SystemClock(), quiet)
+			err = agent.Run(context.Background(), config, agent.SystemClock(), log)
 		}
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
@@ -50,12 +50,12 @@
 		fmt.Println(agent.FindProcess(os.Args[1]))
 		os.Exit(0)
 	case "instance":
-		os.Exit(runInstanceStub(os.Args[1], os.Args[3], os.Args[5], quiet))
+		os.Exit(runInstanceStub(os.Args[1], os.Args[3], os.Args[5], log))
 	}
 	os.Exit(m.Run())
 }
 
-// instanceStub is a stand-in's surface.
+// instanceStub implements the control API of an instance.
 type instanceStub struct {
 	mu            sync.Mutex
 	registry      *orders.Registry
@@ -63,41 +63,43 @@
 	ready         bool
 }
 
-func (d *instanceStub) Status(context.Context) (control.Status, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	st := control.Status{ProtocolVersion: control.ProtocolVersion, PID: os.Getpid(), StartedMicros: d.startedMicros, Ready: d.ready, Term: d.registry.Term()}
-	for _, o := range d.registry.Orders() {
-		state, _ := d.registry.State(logic.Micros(time.Now().UnixMicro()), o.ServerID)
-		st.Orders = append(st.Orders, control.HeldOrder{Order: o, State: orders.StateName(state)})
+func (stub *instanceStub) Status(context.Context) (control.Status, error) {
+	stub.mu.Lock()
+	defer stub.mu.Unlock()
+	status := control.Status{ProtocolVersion: control.ProtocolVersion, PID: os.Getpid(), StartedMicros: stub.startedMicros, Ready: stub.ready, Term: stub.registry.Term()}
+	for _, order := range stub.registry.Orders() {
+		state, _ := stub.registry.State(logic.Micros(time.Now().UnixMicro()), order.ServerID)
+		status.Orders = append(status.Orders, control.HeldOrder{Order: order, State: orders.StateName(state)})
 	}
-	return st, nil
+	return status, nil
 }
 
-func (d *instanceStub) ApplyOrder(_ context.Context, o orders.Order) (orders.Answer, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	o.ServerID = discovery.ServerID(o.ServerUID)
-	ans, _ := d.registry.Apply(logic.Micros(time.Now().UnixMicro()), o)
-	return ans, nil
+func (stub *instanceStub) ApplyOrder(_ context.Context, order orders.Order) (orders.Answer, error) {
+	stub.mu.Lock()
+	defer stub.mu.Unlock()
+	order.ServerID = discovery.ServerID(order.ServerUID)
+	answer, _ := stub.registry.Apply(logic.Micros(time.Now().UnixMicro()), order)
+	return answer, nil
 }
 
-func (d *instanceStub) Reload(context.Context) error                  { return nil }
-func (d *instanceStub) Leave(context.Context) error                   { return nil }
-func (d *instanceStub) SetLogLevel(context.Context, slog.Level) error { return nil }
+func (stub *instanceStub) Reload(context.Context) error                  { return nil }
+func (stub *instanceStub) Leave(context.Context) error                   { return nil }
+func (stub *instanceStub) SetLogLevel(context.Context, slog.Level) error { return nil }
 
-func runInstanceStub(kind, at, held string, log *slog.Logger) int {
-	leave := make(chan os.Signal, 1)
-	signal.Notify(leave, syscall.SIGTERM)
+// runInstanceStub runs a stub until SIGTERM and returns its exit code. A stub of kind "crash" exits at once; one of kind
+// "other-version" speaks another version of the control protocol. The others check that they are given a file of orders.
+func runInstanceStub(kind, controlAddress, ordersPath string, log *slog.Logger) int {
+	terminate := make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM)
 	if kind == "crash" {
 		return 3
 	}
-	if kind == "later" { // one of another version of the control protocol
-		l, err := net.Listen("unix", strings.TrimPrefix(at, "unix:"))
+	if kind == "other-version" {
+		listener, err := net.Listen("unix", strings.TrimPrefix(controlAddress, "unix:"))
 		if err != nil {
 			return 4
 		}
-		go http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		go http.Serve(listener, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/v1/status" {
 				fmt.Fprintf(w, `{"control":2,"pid":%d,"started":5,"ready":true}`, os.Getpid())
 				return
@@ -105,44 +107,46 @@
 			w.WriteHeader(http.StatusNotFound)
 			fmt.Fprint(w, `{"error":"control protocol 2 is spoken"}`)
 		}))
-		<-leave
+		<-terminate
 		return 0
 	}
-	d := &instanceStub{registry: orders.New(), startedMicros: time.Now().UnixMicro(), ready: true}
-	d.registry.BeginFullList()
+	stub := &instanceStub{registry: orders.New(), startedMicros: time.Now().UnixMicro(), ready: true}
+	stub.registry.BeginFullList()
 	for n := range 6 {
-		d.registry.UpdateServer(0, discovery.ServerID(fmt.Sprint("s", n)), logic.Ready, 0)
+		stub.registry.UpdateServer(0, discovery.ServerID(fmt.Sprint("s", n)), logic.Ready, 0)
 	}
-	d.registry.EndList()
-	text, err := os.ReadFile(held)
+	stub.registry.EndList()
+	text, err := os.ReadFile(ordersPath)
 	if err != nil || !strings.HasPrefix(string(text), "[") {
 		return 5
 	}
-	c, err := control.Start(at, d, log)
+	server, err := control.Start(controlAddress, stub, log)
 	if err != nil {
 		return 6
 	}
-	defer c.Close()
-	<-leave
+	defer server.Close()
+	<-terminate
 	return 0
 }
 
-// testCluster is a machine with agents and their instances.
+// testCluster is a set of agents with their instances, all on this machine. Agents are numbered from 0; instance n belongs to agent
+// n modulo the number of agents.
 type testCluster struct {
 	*testing.T
 	dir           string
-	addresses     []string
+	addresses     []string // of the agents' HTTP APIs
 	configPaths   []string
 	instanceCount int
 
 	mu     sync.Mutex
-	agents []*exec.Cmd // nil for one that does not run
+	agents []*exec.Cmd // nil for an agent that doesn't run
 }
 
+// addressCounter makes the addresses of freeAddress differ.
 var addressCounter atomic.Int64
 
-// freeAddress is an address on which nobody listens. It is none of those that connections go out from, which would take it
-// before it is used, and no other's.
+// freeAddress returns a loopback address with a port on which nothing listens. Its IP address is not one from which connections are
+// made, which could take the port before it is used.
 func freeAddress(t *testing.T) string {
 	l, err := net.Listen("tcp", fmt.Sprintf("127.3.%d.%d:0", os.Getpid()%250, 1+addressCounter.Add(1)%250))
 	require.NoError(t, err)
@@ -150,109 +154,113 @@
 	return l.Addr().String()
 }
 
-// newTestCluster writes a site down; kinds are its instances', dealt out over the agents in turn.
+// newTestCluster writes the configuration of a cluster, without starting it. kinds are the kinds of its stub instances, see
+// runInstanceStub. Everything that runs is killed when the test ends, and the agents' logs are printed if it failed.
 func newTestCluster(t *testing.T, agents int, kinds ...string) *testCluster {
 	t.Helper()
-	folder, err := os.MkdirTemp("", "ha")
+	dir, err := os.MkdirTemp("", "ha")
 	require.NoError(t, err)
-	s := &testCluster{T: t, dir: folder, instanceCount: len(kinds), agents: make([]*exec.Cmd, agents)}
-	own, err := os.Executable()
+	tc := &testCluster{T: t, dir: dir, instanceCount: len(kinds), agents: make([]*exec.Cmd, agents)}
+	executable, err := os.Executable()
 	require.NoError(t, err)
-	var logs []string
+	var logAddresses []string
 	for range agents {
-		s.addresses, logs = append(s.addresses, freeAddress(t)), append(logs, freeAddress(t))
+		tc.addresses, logAddresses = append(tc.addresses, freeAddress(t)), append(logAddresses, freeAddress(t))
 	}
 	for a := range agents {
-		text := fmt.Sprintf("name = \"a%d\"\nlisten = %q\nlog = %q\ndata = %q\n", a, s.addresses[a], logs[a], s.dataDir(a))
+		text := fmt.Sprintf("name = \"a%d\"\nlisten = %q\nlog = %q\ndata = %q\n", a, tc.addresses[a], logAddresses[a], tc.dataDir(a))
 		for b := range agents {
 			if b != a {
-				text += fmt.Sprintf("[[peer]]\nname = \"a%d\"\nlisten = %q\nlog = %q\n", b, s.addresses[b], logs[b])
+				text += fmt.Sprintf("[[peer]]\nname = \"a%d\"\nlisten = %q\nlog = %q\n", b, tc.addresses[b], logAddresses[b])
 			}
 		}
 		for n, kind := range kinds {
 			if n%agents == a {
 				text += fmt.Sprintf("[[instance]]\nname = \"n%d\"\ncommand = [\"/usr/bin/env\", \"HATCH_ROLE=instance\", %q, %q]\ncontrol = \"unix:%s/n%d.sock\"\n",
-					n, own, kind, folder, n)
+					n, executable, kind, dir, n)
 			}
 		}
-		path := filepath.Join(folder, fmt.Sprintf("a%d.toml", a))
+		path := filepath.Join(dir, fmt.Sprintf("a%d.toml", a))
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		s.configPaths = append(s.configPaths, path)
+		tc.configPaths = append(tc.configPaths, path)
 	}
 	t.Cleanup(func() {
-		for a := range s.agents {
-			s.killAgent(a)
+		for a := range tc.agents {
+			tc.killAgent(a)
 		}
 		for n := range kinds {
-			if pid := s.instancePID(n); pid > 1 {
+			if pid := tc.instancePID(n); pid > 1 {
 				_ = syscall.Kill(pid, syscall.SIGKILL)
 			}
 		}
 		if t.Failed() {
-			for a := range s.agents {
-				text, _ := os.ReadFile(filepath.Join(folder, fmt.Sprintf("a%d.log", a)))
+			for a := range tc.agents {
+				text, _ := os.ReadFile(filepath.Join(dir, fmt.Sprintf("a%d.log", a)))
 				t.Logf("agent %d: %s", a, text)
 			}
 		}
-		_ = os.RemoveAll(folder)
+		_ = os.RemoveAll(dir)
 	})
-	return s
+	return tc
 }
 
-func (s *testCluster) dataDir(a int) string { return filepath.Join(s.dir, fmt.Sprintf("d%d", a)) }
-
-func (s *testCluster) startAgents(which ...int) {
-	s.Helper()
-	own, err := os.Executable()
-	require.NoError(s, err)
-	for _, a := range which {
-		log, err := os.OpenFile(filepath.Join(s.dir, fmt.Sprintf("a%d.log", a)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-		require.NoError(s, err)
-		cmd := exec.Command(own, s.configPaths[a])
+// dataDir returns the data directory of agent a.
+func (tc *testCluster) dataDir(a int) string { return filepath.Join(tc.dir, fmt.Sprintf("d%d", a)) }
+
+// startAgents starts agents by their numbers.
+func (tc *testCluster) startAgents(numbers ...int) {
+	tc.Helper()
+	executable, err := os.Executable()
+	require.NoError(tc, err)
+	for _, a := range numbers {
+		log, err := os.OpenFile(filepath.Join(tc.dir, fmt.Sprintf("a%d.log", a)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+		require.NoError(tc, err)
+		cmd := exec.Command(executable, tc.configPaths[a])
 		cmd.Env = append(os.Environ(), "HATCH_ROLE=agent")
 		cmd.Stderr = log
-		require.NoError(s, cmd.Start())
+		require.NoError(tc, cmd.Start())
 		_ = log.Close()
-		s.mu.Lock()
-		s.agents[a] = cmd
-		s.mu.Unlock()
+		tc.mu.Lock()
+		tc.agents[a] = cmd
+		tc.mu.Unlock()
 	}
 }
 
-func (s *testCluster) killAgent(a int) {
-	s.mu.Lock()
-	cmd := s.agents[a]
-	s.agents[a] = nil
-	s.mu.Unlock()
+// killAgent kills agent a if it runs. Its instances keep running.
+func (tc *testCluster) killAgent(a int) {
+	tc.mu.Lock()
+	cmd := tc.agents[a]
+	tc.agents[a] = nil
+	tc.mu.Unlock()
 	if cmd != nil {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 	}
 }
 
-// instancePID is an instance's process, as its agent has written it down.
-func (s *testCluster) instancePID(n int) int {
+// instancePID returns the PID in the process file of instance n; 0 if there is none.
+func (tc *testCluster) instancePID(n int) int {
 	var pid int
-	text, _ := os.ReadFile(filepath.Join(s.dataDir(n%len(s.agents)), fmt.Sprintf("n%d.process", n)))
+	text, _ := os.ReadFile(filepath.Join(tc.dataDir(n%len(tc.agents)), fmt.Sprintf("n%d.process", n)))
 	_, _ = fmt.Sscanf(string(text), `{"pid":%d`, &pid)
 	return pid
 }
 
-// callAnyAgent asks the agents that run, one after the other.
-func (s *testCluster) callAnyAgent(how func(context.Context, *agent.Client) error) error {
+// callAnyAgent calls the running agents one after the other until a call succeeds, and returns the last error if none does.
+func (tc *testCluster) callAnyAgent(call func(context.Context, *agent.Client) error) error {
 	err := errors.New("no agent runs")
-	s.mu.Lock()
-	agents := slices.Clone(s.agents)
-	s.mu.Unlock()
+	tc.mu.Lock()
+	agents := slices.Clone(tc.agents)
+	tc.mu.Unlock()
 	for a, cmd := range agents {
 		if cmd == nil {
 			continue
 		}
-		c := agent.NewClient(s.addresses[a])
+		client := agent.NewClient(tc.addresses[a])
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		err = how(ctx, c)
+		err = call(ctx, client)
 		cancel()
-		c.Close()
+		client.Close()
 		if err == nil {
 			return nil
 		}
@@ -260,13 +268,13 @@
 	return err
 }
 
-// submit has a command agreed on, as the tool does: again under the same id until it is.
-func (s *testCluster) submit(c clusterstate.Command) uint64 {
-	s.Helper()
+// submit submits a command until it is committed, each time under the same ID as hatchctl does, and returns its log index.
+func (tc *testCluster) submit(command clusterstate.Command) uint64 {
+	tc.Helper()
 	var number uint64
-	require.Eventually(s, func() bool {
-		return s.callAnyAgent(func(ctx context.Context, a *agent.Client) (err error) {
-			number, err = a.Submit(ctx, c)
+	require.Eventually(tc, func() bool {
+		return tc.callAnyAgent(func(ctx context.Context, client *agent.Client) (err error) {
+			number, err = client.Submit(ctx, command)
 			return err
 		}) == nil
 	}, 20*time.Second, 10*time.Millisecond)
@@ -277,44 +285,45 @@
 	return clusterstate.Command{ID: id, Verb: clusterstate.Drain, Server: server}
 }
 
-func (s *testCluster) view() (v agent.View) {
-	_ = s.callAnyAgent(func(ctx context.Context, a *agent.Client) (err error) {
+// view returns what all agents together know; its zero value if no agent answers.
+func (tc *testCluster) view() (v agent.View) {
+	_ = tc.callAnyAgent(func(ctx context.Context, a *agent.Client) (err error) {
 		v, err = a.ClusterView(ctx)
 		return err
 	})
 	return v
 }
 
-// eventuallyAll waits until all instances are as wanted.
-func (s *testCluster) eventuallyAll(what string, good func(agent.InstanceView) bool) {
-	s.Helper()
-	require.Eventually(s, func() bool {
-		v := s.view()
-		return len(v.Instances) == s.instanceCount && !slices.ContainsFunc(v.Instances, func(i agent.InstanceView) bool { return !good(i) })
-	}, 30*time.Second, 10*time.Millisecond, what)
+// eventuallyAll waits until a condition holds for all instances.
+func (tc *testCluster) eventuallyAll(message string, condition func(agent.InstanceView) bool) {
+	tc.Helper()
+	require.Eventually(tc, func() bool {
+		v := tc.view()
+		return len(v.Instances) == tc.instanceCount && !slices.ContainsFunc(v.Instances, func(i agent.InstanceView) bool { return !condition(i) })
+	}, 30*time.Second, 10*time.Millisecond, message)
 }
 
 func isReady(i agent.InstanceView) bool { return i.State == supervisor.Ready && i.Status != nil }
 
-// serverState is what an instance itself says of a server.
-func (s *testCluster) serverState(n int, server string) string {
-	c := control.NewClient(fmt.Sprintf("unix:%s/n%d.sock", s.dir, n))
-	defer c.Close()
+// serverState asks instance n for the state of a server's order. It returns "no order" if there is none, or the error of the call.
+func (tc *testCluster) serverState(n int, server string) string {
+	client := control.NewClient(fmt.Sprintf("unix:%s/n%d.sock", tc.dir, n))
+	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	st, err := c.Status(ctx)
+	status, err := client.Status(ctx)
 	if err != nil {
 		return err.Error()
 	}
-	for _, o := range st.Orders {
-		if o.ServerUID == server {
-			return o.State
+	for _, order := range status.Orders {
+		if order.ServerUID == server {
+			return order.State
 		}
 	}
 	return "no order"
 }
 
-// allThreadsStopped tells whether each thread of a process stands still: a signal takes its time to reach them all.
+// allThreadsStopped reports whether all threads of a process are stopped: SIGSTOP takes some time to reach them all.
 func allThreadsStopped(pid int) bool {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	return err == nil && len(tasks) > 0 && !slices.ContainsFunc(tasks, func(path string) bool {
@@ -323,163 +332,164 @@
 	})
 }
 
-func healthyInstances(n int) []string { return slices.Repeat([]string{"sound"}, n) }
+// healthyInstances returns the kinds of n stubs that work.
+func healthyInstances(n int) []string { return slices.Repeat([]string{"healthy"}, n) }
 
-func TestAnAgentThatIsKilledLeavesItsInstancesAndTheNextOneFindsThemAndKeepsTheOrders(t *testing.T) {
+func TestRestartedAgentAdoptsInstancesAndKeepsOrders(t *testing.T) {
 	t.Parallel()
-	s := newTestCluster(t, 1, healthyInstances(4)...)
-	s.startAgents(0)
-	s.eventuallyAll("all are ready", isReady)
-	before := s.instancePID(2)
-	require.NoError(t, syscall.Kill(s.instancePID(3), syscall.SIGSTOP)) // it has not heard when the agent dies
-	require.Eventually(t, func() bool { return allThreadsStopped(s.instancePID(3)) }, 5*time.Second, time.Millisecond)
-	number := s.submit(drainCommand("one", "s1"))
-	s.killAgent(0)
-	s.startAgents(0)
-	time.Sleep(100 * time.Millisecond) // killed again during its own start
-	s.killAgent(0)
-	s.startAgents(0)
-	require.NoError(t, syscall.Kill(s.instancePID(3), syscall.SIGCONT))
-	s.eventuallyAll("all have heard", func(i agent.InstanceView) bool {
+	cluster := newTestCluster(t, 1, healthyInstances(4)...)
+	cluster.startAgents(0)
+	cluster.eventuallyAll("all instances are ready", isReady)
+	before := cluster.instancePID(2)
+	require.NoError(t, syscall.Kill(cluster.instancePID(3), syscall.SIGSTOP)) // it has not received the order when the agent is killed
+	require.Eventually(t, func() bool { return allThreadsStopped(cluster.instancePID(3)) }, 5*time.Second, time.Millisecond)
+	number := cluster.submit(drainCommand("one", "s1"))
+	cluster.killAgent(0)
+	cluster.startAgents(0)
+	time.Sleep(100 * time.Millisecond) // killed again while it starts
+	cluster.killAgent(0)
+	cluster.startAgents(0)
+	require.NoError(t, syscall.Kill(cluster.instancePID(3), syscall.SIGCONT))
+	cluster.eventuallyAll("all instances have received the order", func(i agent.InstanceView) bool {
 		return i.OrderResults["s1"].Number == number && i.OrderResults["s1"].Verdict == orders.Obeyed
 	})
-	require.Equal(t, before, s.instancePID(2), "nobody was started a second time")
+	require.Equal(t, before, cluster.instancePID(2), "no instance was started a second time")
 	for n := range 4 {
-		require.Equal(t, "draining", s.serverState(n, "s1"))
+		require.Equal(t, "draining", cluster.serverState(n, "s1"))
 	}
-	require.NoError(t, syscall.Kill(s.instancePID(2), syscall.SIGKILL))
-	require.Eventually(t, func() bool { return s.instancePID(2) != before && s.serverState(2, "s1") == "draining" }, 10*time.Second, 10*time.Millisecond,
-		"one that fell is started again, and has the order from its start")
+	require.NoError(t, syscall.Kill(cluster.instancePID(2), syscall.SIGKILL))
+	require.Eventually(t, func() bool { return cluster.instancePID(2) != before && cluster.serverState(2, "s1") == "draining" }, 10*time.Second, 10*time.Millisecond,
+		"an instance that was killed is started again, with the order")
 }
 
-func TestAnInstanceThatNeverAnswersIsTellableAndObeysWithinTwoSecondsOfWaking(t *testing.T) {
+func TestStoppedInstanceIsReportedAndObeysWithinTwoSecondsOfContinuing(t *testing.T) {
 	t.Parallel()
-	s := newTestCluster(t, 1, healthyInstances(3)...)
-	s.startAgents(0)
-	s.eventuallyAll("all are ready", isReady)
-	require.NoError(t, syscall.Kill(s.instancePID(1), syscall.SIGSTOP))
-	require.Eventually(t, func() bool { return allThreadsStopped(s.instancePID(1)) }, 5*time.Second, time.Millisecond)
-	number := s.submit(drainCommand("one", "s2"))
+	cluster := newTestCluster(t, 1, healthyInstances(3)...)
+	cluster.startAgents(0)
+	cluster.eventuallyAll("all instances are ready", isReady)
+	require.NoError(t, syscall.Kill(cluster.instancePID(1), syscall.SIGSTOP))
+	require.Eventually(t, func() bool { return allThreadsStopped(cluster.instancePID(1)) }, 5*time.Second, time.Millisecond)
+	number := cluster.submit(drainCommand("one", "s2"))
 	require.Eventually(t, func() bool {
-		v := s.view()
+		v := cluster.view()
 		return len(v.Instances) == 3 && v.Instances[0].OrderResults["s2"].Number == number && v.Instances[1].OrderResults["s2"].Number == 0 && v.Instances[2].OrderResults["s2"].Number == number &&
 			v.Instances[1].MemberState != "alive"
-	}, 15*time.Second, 10*time.Millisecond, "who obeyed and who did not, and who is missing")
-	require.NoError(t, syscall.Kill(s.instancePID(1), syscall.SIGCONT))
-	woken := time.Now()
-	require.Eventually(t, func() bool { return s.serverState(1, "s2") == "draining" }, 2*time.Second, 5*time.Millisecond)
-	require.Less(t, time.Since(woken), 2*time.Second)
-	s.eventuallyAll("and the agent knows", func(i agent.InstanceView) bool { return i.OrderResults["s2"].Number == number })
+	}, 15*time.Second, 10*time.Millisecond, "the view shows who obeyed, who did not, and who is missing")
+	require.NoError(t, syscall.Kill(cluster.instancePID(1), syscall.SIGCONT))
+	continued := time.Now()
+	require.Eventually(t, func() bool { return cluster.serverState(1, "s2") == "draining" }, 2*time.Second, 5*time.Millisecond)
+	require.Less(t, time.Since(continued), 2*time.Second)
+	cluster.eventuallyAll("the agent has the instance's answer", func(i agent.InstanceView) bool { return i.OrderResults["s2"].Number == number })
 }
 
-func TestThreeAgentsGoOnWithoutTheLeaderAndTwoThatAreGoneStopTheThird(t *testing.T) {
+func TestThreeAgentsTolerateLossOfTheLeaderButNotOfTwo(t *testing.T) {
 	t.Parallel()
-	s := newTestCluster(t, 3, healthyInstances(6)...)
-	s.startAgents(0, 1, 2)
-	s.eventuallyAll("all are ready", isReady)
-	first := s.submit(drainCommand("first", "s1"))
+	cluster := newTestCluster(t, 3, healthyInstances(6)...)
+	cluster.startAgents(0, 1, 2)
+	cluster.eventuallyAll("all instances are ready", isReady)
+	first := cluster.submit(drainCommand("first", "s1"))
 	leader := 0
-	_, err := fmt.Sscanf(s.view().Leader, "a%d", &leader)
+	_, err := fmt.Sscanf(cluster.view().Leader, "a%d", &leader)
 	require.NoError(t, err)
 	go func() {
-		_ = s.callAnyAgent(func(ctx context.Context, a *agent.Client) error {
+		_ = cluster.callAnyAgent(func(ctx context.Context, a *agent.Client) error {
 			_, err := a.Submit(ctx, drainCommand("second", "s2"))
 			return err
 		})
 	}()
-	s.killAgent(leader)
-	second := s.submit(drainCommand("second", "s2"))
+	cluster.killAgent(leader)
+	second := cluster.submit(drainCommand("second", "s2"))
 	require.Greater(t, second, first)
-	third := s.submit(clusterstate.Command{ID: "third", Verb: clusterstate.Undrain, Server: "s1"})
-	s.startAgents(leader)
-	s.eventuallyAll("all have heard all", func(i agent.InstanceView) bool {
+	third := cluster.submit(clusterstate.Command{ID: "third", Verb: clusterstate.Undrain, Server: "s1"})
+	cluster.startAgents(leader)
+	cluster.eventuallyAll("all instances have received all orders", func(i agent.InstanceView) bool {
 		return i.OrderResults["s1"].Number == third && i.OrderResults["s2"].Number == second
 	})
 	for n := range 6 {
-		require.Equal(t, "ready", s.serverState(n, "s1"))
-		require.Equal(t, "draining", s.serverState(n, "s2"))
+		require.Equal(t, "ready", cluster.serverState(n, "s1"))
+		require.Equal(t, "draining", cluster.serverState(n, "s2"))
 	}
 	alone := (leader + 1) % 3
 	for a := range 3 {
 		if a != alone {
-			s.killAgent(a)
+			cluster.killAgent(a)
 		}
 	}
 	require.Eventually(t, func() bool {
-		return s.callAnyAgent(func(ctx context.Context, a *agent.Client) error {
+		return cluster.callAnyAgent(func(ctx context.Context, a *agent.Client) error {
 			_, err := a.Submit(ctx, drainCommand("alone", "s3"))
 			return err
 		}) != nil
-	}, 10*time.Second, 100*time.Millisecond, "one of three agrees with nobody")
-	require.Equal(t, "no order", s.serverState(alone, "s3"), "what was not agreed on reaches nobody")
-	require.Equal(t, "draining", s.serverState(alone, "s2"), "and what was still stands")
+	}, 10*time.Second, 100*time.Millisecond, "one agent of three can't commit anything")
+	require.Equal(t, "no order", cluster.serverState(alone, "s3"), "an order that was not committed reaches no instance")
+	require.Equal(t, "draining", cluster.serverState(alone, "s2"), "earlier orders stay in effect")
 }
 
-// Guards against an agent that was cut off and comes back with what stood before.
-func TestALeaderThatWasStoppedGivesNoStaleOrdersWhenItGoesOn(t *testing.T) {
+// A leader that was stopped or cut off must not send its instances outdated orders when it continues.
+func TestStoppedLeaderGivesNoStaleOrdersAfterContinuing(t *testing.T) {
 	t.Parallel()
-	s := newTestCluster(t, 3, healthyInstances(3)...)
-	s.startAgents(0, 1, 2)
-	s.eventuallyAll("all are ready", isReady)
-	s.submit(drainCommand("first", "s1"))
-	s.eventuallyAll("all have heard", func(i agent.InstanceView) bool { return i.OrderResults["s1"].Number > 0 })
+	cluster := newTestCluster(t, 3, healthyInstances(3)...)
+	cluster.startAgents(0, 1, 2)
+	cluster.eventuallyAll("all instances are ready", isReady)
+	cluster.submit(drainCommand("first", "s1"))
+	cluster.eventuallyAll("all instances have received the order", func(i agent.InstanceView) bool { return i.OrderResults["s1"].Number > 0 })
 	leader := 0
-	_, err := fmt.Sscanf(s.view().Leader, "a%d", &leader)
+	_, err := fmt.Sscanf(cluster.view().Leader, "a%d", &leader)
 	require.NoError(t, err)
-	stopped := s.agents[leader]
+	stopped := cluster.agents[leader]
 	require.NoError(t, stopped.Process.Signal(syscall.SIGSTOP))
 	require.Eventually(t, func() bool { return allThreadsStopped(stopped.Process.Pid) }, 5*time.Second, time.Millisecond)
-	s.mu.Lock()
-	s.agents[leader] = nil // nobody asks it
-	s.mu.Unlock()
-	second := s.submit(clusterstate.Command{ID: "second", Verb: clusterstate.Undrain, Server: "s1"})
-	require.Equal(t, "draining", s.serverState(leader, "s1"), "the stopped agent's instance goes on with its last orders")
+	cluster.mu.Lock()
+	cluster.agents[leader] = nil // callAnyAgent skips it
+	cluster.mu.Unlock()
+	second := cluster.submit(clusterstate.Command{ID: "second", Verb: clusterstate.Undrain, Server: "s1"})
+	require.Equal(t, "draining", cluster.serverState(leader, "s1"), "the stopped agent's instance keeps its last orders")
 	require.NoError(t, stopped.Process.Signal(syscall.SIGCONT))
-	s.mu.Lock()
-	s.agents[leader] = stopped
-	s.mu.Unlock()
-	c := agent.NewClient(s.addresses[leader])
-	defer c.Close()
+	cluster.mu.Lock()
+	cluster.agents[leader] = stopped
+	cluster.mu.Unlock()
+	client := agent.NewClient(cluster.addresses[leader])
+	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	if number, err := c.Submit(ctx, drainCommand("stale", "s2")); err == nil {
-		require.Greater(t, number, second, "it was agreed on by those that know the second")
+	if number, err := client.Submit(ctx, drainCommand("stale", "s2")); err == nil {
+		require.Greater(t, number, second, "the command was committed after the second one")
 	}
-	s.eventuallyAll("all have heard the second", func(i agent.InstanceView) bool { return i.OrderResults["s1"].Number == second })
+	cluster.eventuallyAll("all instances have received the second order", func(i agent.InstanceView) bool { return i.OrderResults["s1"].Number == second })
 	for n := range 3 {
-		require.Equal(t, "ready", s.serverState(n, "s1"))
+		require.Equal(t, "ready", cluster.serverState(n, "s1"))
 	}
 }
 
-func TestTwoOperatorsAtOnceEndWithOneStateEverywhere(t *testing.T) {
+func TestConcurrentOperatorsEndWithOneStateEverywhere(t *testing.T) {
 	t.Parallel()
-	s := newTestCluster(t, 1, healthyInstances(5)...)
-	s.startAgents(0)
-	s.eventuallyAll("all are ready", isReady)
-	var both sync.WaitGroup
-	for who, verb := range []clusterstate.Verb{clusterstate.Drain, clusterstate.Undrain} {
-		both.Go(func() {
+	cluster := newTestCluster(t, 1, healthyInstances(5)...)
+	cluster.startAgents(0)
+	cluster.eventuallyAll("all instances are ready", isReady)
+	var operators sync.WaitGroup
+	for operator, verb := range []clusterstate.Verb{clusterstate.Drain, clusterstate.Undrain} {
+		operators.Go(func() {
 			for n := range 20 {
-				s.submit(clusterstate.Command{ID: fmt.Sprint(who, "-", n), Verb: verb, Server: "s4"})
+				cluster.submit(clusterstate.Command{ID: fmt.Sprint(operator, "-", n), Verb: verb, Server: "s4"})
 			}
 		})
 	}
-	both.Wait()
-	v := s.view()
+	operators.Wait()
+	v := cluster.view()
 	last := v.RecentCommands[len(v.RecentCommands)-1]
 	require.Len(t, v.RecentCommands, 40)
-	s.eventuallyAll("all have heard the last", func(i agent.InstanceView) bool { return i.OrderResults["s4"].Number == last.Number })
+	cluster.eventuallyAll("all instances have received the last order", func(i agent.InstanceView) bool { return i.OrderResults["s4"].Number == last.Number })
 	for n := range 5 {
-		require.Equal(t, map[clusterstate.Verb]string{clusterstate.Drain: "draining", clusterstate.Undrain: "ready"}[last.Verb], s.serverState(n, "s4"))
+		require.Equal(t, map[clusterstate.Verb]string{clusterstate.Drain: "draining", clusterstate.Undrain: "ready"}[last.Verb], cluster.serverState(n, "s4"))
 	}
 }
 
-func TestCrashLoopsAndOtherVersionsAreToldAndDisturbNobodyElse(t *testing.T) {
+func TestCrashLoopsAndOtherProtocolVersionsAreReportedAndAffectNoOtherInstance(t *testing.T) {
 	t.Parallel()
-	s := newTestCluster(t, 1, "sound", "crash", "later")
-	s.startAgents(0)
-	number := s.submit(drainCommand("one", "s1"))
-	s.eventuallyAll("each is what it is", func(i agent.InstanceView) bool {
+	cluster := newTestCluster(t, 1, "healthy", "crash", "other-version")
+	cluster.startAgents(0)
+	number := cluster.submit(drainCommand("one", "s1"))
+	cluster.eventuallyAll("each instance is reported as its kind requires", func(i agent.InstanceView) bool {
 		switch i.Name {
 		case "n1":
 			return i.State == supervisor.CrashLooping && i.Failures >= 5 && strings.Contains(i.Reason, "exit status 3")
@@ -490,66 +500,66 @@
 	})
 }
 
-func TestThirtyThatStartAnewAtOnceAllComeBackWithTheOrders(t *testing.T) {
+func TestThirtyInstancesRestartedAtOnceReturnWithTheirOrders(t *testing.T) {
 	t.Parallel()
-	s := newTestCluster(t, 1, healthyInstances(30)...)
-	s.startAgents(0)
-	s.eventuallyAll("all are ready", isReady)
-	number := s.submit(drainCommand("one", "s1"))
+	cluster := newTestCluster(t, 1, healthyInstances(30)...)
+	cluster.startAgents(0)
+	cluster.eventuallyAll("all instances are ready", isReady)
+	number := cluster.submit(drainCommand("one", "s1"))
 	var all []string
 	for n := range 30 {
 		all = append(all, fmt.Sprint("n", n))
 	}
-	restart := s.submit(clusterstate.Command{ID: "again", Verb: clusterstate.Restart, Instances: all})
-	s.eventuallyAll("all are ready again", func(i agent.InstanceView) bool {
+	restart := cluster.submit(clusterstate.Command{ID: "again", Verb: clusterstate.Restart, Instances: all})
+	cluster.eventuallyAll("all instances are ready again", func(i agent.InstanceView) bool {
 		return i.CompletedRestart == restart && isReady(i) && i.OrderResults["s1"].Number == number && i.OrderResults["s1"].Verdict == orders.Obeyed
 	})
-	stop := s.submit(clusterstate.Command{ID: "stop", Verb: clusterstate.Stop, Instances: all[:3]})
+	stop := cluster.submit(clusterstate.Command{ID: "stop", Verb: clusterstate.Stop, Instances: all[:3]})
 	require.Greater(t, stop, restart)
-	s.eventuallyAll("three have left", func(i agent.InstanceView) bool {
+	cluster.eventuallyAll("the three stopped instances have exited", func(i agent.InstanceView) bool {
 		return slices.Contains(all[:3], i.Name) == (i.State == supervisor.Stopped)
 	})
 }
 
-// Guards against a start from half a state.
-func TestATornLogIsToldAndNotTouched(t *testing.T) {
-	s := newTestCluster(t, 1)
-	require.NoError(t, os.MkdirAll(s.dataDir(0), 0o700))
-	path := filepath.Join(s.dataDir(0), "log.db")
-	torn := []byte(strings.Repeat("torn ", 5000))
-	require.NoError(t, os.WriteFile(path, torn, 0o600))
-	plan, err := agent.ReadConfig(s.configPaths[0])
+// An agent must not start from a part of its log.
+func TestCorruptLogIsReportedAndNotModified(t *testing.T) {
+	cluster := newTestCluster(t, 1)
+	require.NoError(t, os.MkdirAll(cluster.dataDir(0), 0o700))
+	path := filepath.Join(cluster.dataDir(0), "log.db")
+	corrupt := []byte(strings.Repeat("torn ", 5000))
+	require.NoError(t, os.WriteFile(path, corrupt, 0o600))
+	config, err := agent.ReadConfig(cluster.configPaths[0])
 	require.NoError(t, err)
-	err = agent.Run(context.Background(), plan, agent.SystemClock(), slog.New(slog.DiscardHandler))
+	err = agent.Run(context.Background(), config, agent.SystemClock(), slog.New(slog.DiscardHandler))
 	require.ErrorContains(t, err, path)
 	require.ErrorContains(t, err, "nothing was changed")
-	now, _ := os.ReadFile(path)
-	require.Equal(t, torn, now)
+	after, _ := os.ReadFile(path)
+	require.Equal(t, corrupt, after)
 }
 
-func TestADiskThatIsFullAtTheStartIsToldAndLeavesNothingHalfMade(t *testing.T) {
-	s := newTestCluster(t, 1)
-	own, err := os.Executable()
+func TestFullDiskAtStartIsReportedAndLeavesNoPartialLog(t *testing.T) {
+	cluster := newTestCluster(t, 1)
+	executable, err := os.Executable()
 	require.NoError(t, err)
-	cmd := exec.Command("/bin/sh", "-c", `ulimit -f 8; exec "$0" "$1"`, own, s.configPaths[0])
+	cmd := exec.Command("/bin/sh", "-c", `ulimit -f 8; exec "$0" "$1"`, executable, cluster.configPaths[0])
 	cmd.Env = append(os.Environ(), "HATCH_ROLE=agent")
-	said, err := cmd.CombinedOutput()
+	output, err := cmd.CombinedOutput()
 	require.Error(t, err)
-	require.Contains(t, string(said), "log.db cannot be opened; nothing was changed")
-	require.Contains(t, string(said), "file too large")
-	s.startAgents(0)
-	require.Positive(t, s.submit(drainCommand("one", "s1")), "with room again it starts as if nothing had been")
+	require.Contains(t, string(output), "log.db cannot be opened; nothing was changed")
+	require.Contains(t, string(output), "file too large")
+	cluster.startAgents(0)
+	require.Positive(t, cluster.submit(drainCommand("one", "s1")), "it starts normally once there is room")
 }
 
-func TestAnAgentsFileThatIsWrongIsToldWithItsPlace(t *testing.T) {
+func TestInvalidConfigIsReportedWithItsPlace(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a.toml")
-	good := "name = \"a\"\nlisten = \"127.0.0.1:7070\"\nlog = \"127.0.0.1:7071\"\ndata = \"x\"\n"
+	valid := "name = \"a\"\nlisten = \"127.0.0.1:7070\"\nlog = \"127.0.0.1:7071\"\ndata = \"x\"\n"
 	for text, want := range map[string]string{
-		good + "odd = 1\n":                         path + ":5: odd is unknown",
-		good + "peer = 1":                          path + ":5: ",
-		"name = \"a/b\"\nlisten = \"0.0.0.0:1\"\n": `"a/b" is not a valid name`,
-		good + "[[instance]]\nname = \"a\"\ncontrol = \"unix:x\"\n": `"a" is already used as a name`,
-		good + "[[instance]]\nname = \"n\"\n":                       "command and control are required",
+		valid + "odd = 1\n":                                          path + ":5: odd is unknown",
+		valid + "peer = 1":                                           path + ":5: ",
+		"name = \"a/b\"\nlisten = \"0.0.0.0:1\"\n":                   `"a/b" is not a valid name`,
+		valid + "[[instance]]\nname = \"a\"\ncontrol = \"unix:x\"\n": `"a" is already used as a name`,
+		valid + "[[instance]]\nname = \"n\"\n":                       "command and control are required",
 	} {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		_, err := agent.ReadConfig(path)
@@ -557,9 +567,9 @@
 	}
 }
 
-// Agents are killed at times drawn from a seed while an operator gives orders: each that was agreed on is heard by every
-// instance in the end. With HATCHAGENT_SCHEDULES=200 as many schedules are played.
-func TestNoOrderIsLostWheneverAgentsAreKilled(t *testing.T) {
+// Agents are killed at times drawn from a seed while an operator submits orders: every committed order must reach every instance in
+// the end. HATCHAGENT_SCHEDULES is the number of seeds; by default 2.
+func TestNoOrderIsLostWhenAgentsAreKilledAtAnyTime(t *testing.T) {
 	t.Parallel()
 	schedules := 2
 	if text := os.Getenv("HATCHAGENT_SCHEDULES"); text != "" {
@@ -571,9 +581,9 @@
 			t.Parallel()
 			rng := rand.New(rand.NewSource(int64(seed)))
 			agents := 1 + 2*rng.Intn(2)
-			s := newTestCluster(t, agents, healthyInstances(4)...)
+			cluster := newTestCluster(t, agents, healthyInstances(4)...)
 			for a := range agents {
-				s.startAgents(a)
+				cluster.startAgents(a)
 			}
 			newest := map[string]uint64{}
 			for n := range 6 {
@@ -586,14 +596,14 @@
 					if n%3 == 2 {
 						verb = clusterstate.Undrain
 					}
-					done <- s.submit(clusterstate.Command{ID: fmt.Sprint("o", n), Verb: verb, Server: server})
+					done <- cluster.submit(clusterstate.Command{ID: fmt.Sprint("o", n), Verb: verb, Server: server})
 				}()
 				time.Sleep(wait)
-				s.killAgent(killed)
-				s.startAgents(killed)
+				cluster.killAgent(killed)
+				cluster.startAgents(killed)
 				newest[server] = max(newest[server], <-done)
 			}
-			s.eventuallyAll("all orders are heard", func(i agent.InstanceView) bool {
+			cluster.eventuallyAll("all instances have received all orders", func(i agent.InstanceView) bool {
 				for server, number := range newest {
 					if i.OrderResults[server].Number < number {
 						return false
