--- a/agent/agent.go
+++ b/agent/agent.go
@@ -161,7 +161,8 @@
 	use(a.memberList)
 }
 
-// Run runs an agent until ctx ends, or until its log can't be opened, joined or written. Its instances keep running afterwards.
+// Run runs an agent until ctx ends. Its instances keep running afterwards. It returns an error if the log or the API can't be opened,
+// if the bootstrap fails, or once the log can't be written.
 func Run(ctx context.Context, config *Config, clock *Clock, log *slog.Logger) error {
 	log = log.With("agent", config.Name)
 	journal, err := openJournal(config)
--- a/agent/bootstrap.go
+++ b/agent/bootstrap.go
@@ -24,9 +24,10 @@
 //
 // A non-voter always joins in the second way, without a vote. Only the configured voters are asked.
 //
-// A disk that was restored to an earlier state has forgotten as much, and can't be told from one that was away. An agent that starts
-// with a log therefore follows the leader at once, but asks for the state of the others' logs before it votes. Until its own log is
-// as new as the newest of theirs, it votes only for candidates whose log is, and doesn't become a candidate (see guardedTransport).
+// A disk that was restored to an earlier state has forgotten as much, and looks like one that was only unavailable for a while. An agent
+// that starts with a log therefore follows the leader at once, but asks for the state of the others' logs before it votes. Until its
+// own log is as new as the newest of theirs, it votes only for candidates whose log is, and doesn't become a candidate (see
+// guardedTransport).
 
 // peerPollInterval is how often the other agents are asked for the state of their logs.
 const peerPollInterval = 100 * time.Millisecond
@@ -138,7 +139,8 @@
 				return
 			}
 			// Don't wait for entries that nobody holds any more: an agent that reported the newest log and now reports less has lost its
-			// disk. Only one lost disk at a time is tolerated, so this agent's own disk was then not set back but only away.
+			// disk. Only one lost disk at a time is tolerated, so this agent's own disk then was not restored to an earlier state but only
+			// unavailable.
 			current := poll()
 			current.Term = newest.Term // this agent may have voted in any term up to that one
 			newest = current
