--- a/lab/experiment/file.go
+++ b/lab/experiment/file.go
@@ -1,5 +1,7 @@
-// Package experiment reads what an experiment is to be, plays it with real proxies, and holds what was seen beside
-// what must be seen.
+// Package experiment runs load experiments. It reads an experiment from a TOML file, plays it with real proxy processes,
+// agents where the file asks for them, a simulated server fleet and an open-loop load, checks the event log of the run
+// against the protocol's rules, and compares the measured figures with the bounds that the file expects. It also compares
+// two builds over pairs of runs, and measures what a proxy costs next to a bare relay.
 package experiment
 
 import (
@@ -21,64 +23,78 @@
 	"hatchproxy/lab/load"
 )
 
-// Duration is a time in a file, with its unit: "1.5s", "300ms". It is a struct so that a bare number, of whatever unit, is
-// no time.
+// Duration is a duration in an experiment file, written with its unit: "1.5s", "300ms". It is a struct so that a bare
+// number, whose unit would be unclear, is rejected.
 type Duration struct{ Micros ledger.Micros }
 
-// UnmarshalText reads one.
+// UnmarshalText parses a duration in the form of time.ParseDuration. A malformed or negative one is an error.
 func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil || d < 0 {
-		return fmt.Errorf("%q is no time such as \"1.5s\" or \"300ms\"", text)
+		return fmt.Errorf("%q is not a duration such as \"1.5s\" or \"300ms\"", text)
 	}
 	s.Micros = ledger.Of(d)
 	return nil
 }
 
-func (s Duration) micros() ledger.Micros { return s.Micros }
+func (d Duration) micros() ledger.Micros { return d.Micros }
 
-// File is an experiment as it is written down. docs/lab.md tells each name.
+// File is an experiment as it is written in its file. Fields are named like the file's keys; docs/lab.md describes the keys.
 type File struct {
-	Path   string `toml:"-"`
+	Path   string `toml:"-"` // of the file, for error messages and for a relative Load.Trace
 	Name   string
-	About  string
+	About  string // a description for readers
 	Length Duration
 	Seeds  []uint64
 
+	// Proxies describes the proxy processes.
 	Proxies struct {
 		Count      int
-		MemoryMB   int `toml:"memory-mb"`
-		Sockets    int
-		Dispatches int
-		Grace      Duration
+		MemoryMB   int      `toml:"memory-mb"`
+		Sockets    int      // limit of each proxy
+		Dispatches int      // attempts at servers for each attachment, at most
+		Grace      Duration // how long after a drain was announced requests may still be sent to the server
 	}
 	Control Control
-	Fleet   struct {
-		Servers            int
-		Zones              []string
-		Between            Duration
-		CellSize           int      `toml:"cell-size"`
-		SetUp              Duration `toml:"set-up"`
+	// Fleet describes the simulated servers and their discovery service. Set-up, probe and load are work, as the time
+	// that it takes a core of speed 1.
+	Fleet struct {
+		Servers  int
+		Zones    []string
+		Between  Duration // one-way delay between two zones
+		CellSize int      `toml:"cell-size"` // servers in a cell; 0 puts all into one
+		SetUp    Duration `toml:"set-up"`    // work to establish a connection, on average
+		// Probe is the work of a probe, Load that of an established connection in a second, on average.
 		Probe, Load        Duration
 		LoadSpread         float64  `toml:"load-spread"`
-		LoadChange         Duration `toml:"load-change"`
-		GroupCost          float64  `toml:"group-cost"`
-		ConnectionsPerCore int      `toml:"connections-per-core"`
-		QueuePerCore       int      `toml:"queue-per-core"`
-		Message, Notice    Duration
-		Weights            string
-		TellsLoad          bool `toml:"tells-load"`
-		Probes, Sheds      bool
-		Cold               struct {
+		LoadChange         Duration `toml:"load-change"`          // how long a connection's load lasts, on average; 0 for ever
+		GroupCost          float64  `toml:"group-cost"`           // work of a server for each group with a connection there, in mean loads
+		ConnectionsPerCore int      `toml:"connections-per-core"` // 0 for no limit
+		QueuePerCore       int      `toml:"queue-per-core"`       // pending set-ups; 0 for no limit
+		// Message is the time that a message takes on an idle core of speed 1, Notice the delay of discovery's answers.
+		Message, Notice Duration
+		Weights         string // what discovery tells of server sizes: "none", "nominal" or "rough"
+		TellsLoad       bool   `toml:"tells-load"`
+		// Probes tells whether servers answer probes, Sheds whether a draining server asks its clients to move.
+		Probes, Sheds bool
+		// Cold describes a server after its start: From is its initial share of the full capacity, which it reaches after
+		// Warm. One that is sent more than Multiple times its capacity for Window is overloaded and falls.
+		Cold struct {
 			From, Multiple float64
 			Warm, Window   Duration
 		}
+		// Kind lists the kinds of machine. Share is relative to the other kinds' shares, Speed that of a core, Spread the
+		// share by which the speeds of machines of the kind differ.
 		Kind []struct {
 			Name                 string
 			Cores                int
 			Share, Speed, Spread float64
 		}
 	}
+	// Product lists the classes of requests. Share is relative to the other products' shares; Gain weighs the time served;
+	// Life is how long a client wants to be connected, on average; a set-up within Quoted earns the full gain, and Limit is
+	// the hard limit; Repeat and Reach say when a request may be sent again and where duplicates are recognized, within
+	// Window; Message is the quoted time of a message.
 	Product []struct {
 		Name, Repeat, Reach string
 		Share, Gain         float64
@@ -86,6 +102,12 @@
 		Quoted, Limit       Duration
 		Message             Duration
 	}
+	// Load describes the clients. Rate is in arrivals per second; Bend, if given, replaces it by a rate that changes
+	// linearly between the listed points, and Trace by the arrivals of a file. Groups and Zipf distribute clients over
+	// groups. Heed is the share of clients that wait as long as BUSY tells them, Skew the share in the first zone. Wait is
+	// the mean time before a retry; Rejoin the longest time until a client whose connection ended connects again; Return
+	// the mean time until one that used up its Retries tries again, 0 for never; Every the time between a client's messages.
+	// Carried is the number of connections established before the run. With Marks, retries carry r=1.
 	Load struct {
 		Rate                float64
 		Groups              int
@@ -94,13 +116,15 @@
 		Wait, Rejoin, Every Duration
 		Return              Duration
 		Marks               bool
-		Leave, Rest         float64 // shares of requests: given up early by the client; on a connection that rested first
+		Leave, Rest         float64 // shares of requests: closed early by the client; sent on a connection that was idle first
 		Trace               string
 		Bend                []struct {
 			At   Duration
 			Rate float64
 		}
 	}
+	// Trouble lists the faults to inject. Servers names the targets (servers, proxies, machines or sites, as the kind has
+	// it); without it, a share Part of them is drawn. The meaning of Size depends on the kind: see fleet.Kinds.
 	Trouble []struct {
 		Kind    string
 		At, For Duration
@@ -108,31 +132,31 @@
 		Servers []int
 		Size    float64
 	}
-	Expect map[string]string
+	Expect map[string]string // a bound such as ">= 0.9" for each figure's name
 
 	positions      tomlfile.Positions
-	tracedArrivals []load.Arrival
+	tracedArrivals []load.Arrival // of Load.Trace; nil without one
 }
 
-// Control is what keeps the proxies.
+// Control describes the agents that manage the proxies.
 type Control struct {
-	Agents int      // each on a machine of its own; 0: the proxies are started by the rig itself, without a control surface
-	Voters int      // of the agents; 0 for all
-	Duties []string // that all agents stand for
-	Clocks bool     // the agents' clocks are wrong, each in its way
-	Sites  int      // machine m stands in site m modulo this, with the servers of zone m modulo this; 0 for one
+	Agents int      // each on a machine of its own; with 0 this package starts the proxies itself, without a control API
+	Voters int      // number of agents that vote; 0 for all
+	Duties []string // that every agent is a candidate for
+	Clocks bool     // the agents' clocks are wrong, each in a different way
+	Sites  int      // machine m is in site m modulo Sites, with the servers of zone m modulo Sites; 0 for one site
 }
 
 func (c Control) voterCount() int { return cmp.Or(c.Voters, c.Agents) }
 func (c Control) siteCount() int  { return cmp.Or(c.Sites, 1) }
 
-// targetCount is how many there are of what a kind of trouble is for.
+// targetCount returns the number of targets (sites, agents, proxies or servers) that a kind of trouble has to choose from.
 func (f *File) targetCount(kind string) int {
-	fault, is := machineFault(kind)
+	fault, isMachineFault := machineFault(kind)
 	switch {
-	case is && fault.OfSite():
+	case isMachineFault && fault.OfSite():
 		return f.Control.siteCount()
-	case is:
+	case isMachineFault:
 		return f.Control.Agents
 	case fleet.OfProxies(kind):
 		return f.Proxies.Count
@@ -140,7 +164,7 @@
 	return f.Fleet.Servers
 }
 
-// Read reads a file and checks it; the error names the place and the cause of each fault.
+// Read reads and validates an experiment file. The error lists every fault with its line and cause.
 func Read(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -149,7 +173,7 @@
 	return Parse(path, text)
 }
 
-// Parse does the same with a text.
+// Parse is like Read for a given text. The path is used in errors, and to find a relative load.trace.
 func Parse(path string, text []byte) (*File, error) {
 	f := &File{Path: path}
 	f.setDefaults()
@@ -163,166 +187,168 @@
 	return f, nil
 }
 
-// setDefaults is what holds where a file says nothing: the deployment of the first operators.
+// setDefaults sets what applies to keys that a file leaves out: the deployment of the first operators.
 func (f *File) setDefaults() {
 	f.Length, f.Seeds = Duration{20 * ledger.Second}, []uint64{1}
-	p := &f.Proxies
-	p.Count, p.MemoryMB, p.Sockets, p.Dispatches, p.Grace = 2, 192, 16384, 6, Duration{2 * ledger.Second}
-	fl := &f.Fleet
-	fl.Servers, fl.Zones = 8, []string{"a"}
-	fl.SetUp, fl.Probe, fl.Load, fl.Message = Duration{8 * ledger.Millisecond}, Duration{200}, Duration{60 * ledger.Millisecond}, Duration{2 * ledger.Millisecond}
-	fl.Notice, fl.Weights = Duration{500 * ledger.Millisecond}, "nominal"
-	fl.TellsLoad, fl.Probes = true, true
-	fl.Cold.From, fl.Cold.Multiple, fl.Cold.Warm, fl.Cold.Window = 0.3, 4, Duration{9 * ledger.Second}, Duration{3 * ledger.Second}
-	l := &f.Load
-	l.Heed, l.Skew, l.Retries, l.Zipf = 1, 0.5, 3, 1.1
-	l.Wait, l.Rejoin, l.Every = Duration{60 * ledger.Millisecond}, Duration{1600 * ledger.Millisecond}, Duration{2 * ledger.Second}
+	proxies := &f.Proxies
+	proxies.Count, proxies.MemoryMB, proxies.Sockets, proxies.Dispatches, proxies.Grace = 2, 192, 16384, 6, Duration{2 * ledger.Second}
+	fleetSection := &f.Fleet
+	fleetSection.Servers, fleetSection.Zones = 8, []string{"a"}
+	fleetSection.SetUp, fleetSection.Probe, fleetSection.Load, fleetSection.Message = Duration{8 * ledger.Millisecond}, Duration{200}, Duration{60 * ledger.Millisecond}, Duration{2 * ledger.Millisecond}
+	fleetSection.Notice, fleetSection.Weights = Duration{500 * ledger.Millisecond}, "nominal"
+	fleetSection.TellsLoad, fleetSection.Probes = true, true
+	fleetSection.Cold.From, fleetSection.Cold.Multiple, fleetSection.Cold.Warm, fleetSection.Cold.Window = 0.3, 4, Duration{9 * ledger.Second}, Duration{3 * ledger.Second}
+	clients := &f.Load
+	clients.Heed, clients.Skew, clients.Retries, clients.Zipf = 1, 0.5, 3, 1.1
+	clients.Wait, clients.Rejoin, clients.Every = Duration{60 * ledger.Millisecond}, Duration{1600 * ledger.Millisecond}, Duration{2 * ledger.Second}
 }
 
+// idempotencyByName and dedupScopeByName map the values of the keys product.repeat and product.reach.
 var (
 	idempotencyByName = map[string]ledger.Repeat{"harmless": ledger.Harmless, "stamped": ledger.Stamped, "one-shot": ledger.OneShot}
 	dedupScopeByName  = map[string]ledger.Reach{"": ledger.ReachAll, "all": ledger.ReachAll, "zone": ledger.ReachZone, "group": ledger.ReachCell}
 )
 
-// validate finds all that is wrong.
+// validate returns all faults of the file, sorted by their text.
 func (f *File) validate() (faults []error) {
-	wrong := func(key, format string, a ...any) {
+	report := func(key, format string, a ...any) {
 		faults = append(faults, fmt.Errorf("%s: %s: %s", f.positions.At(key), key, fmt.Sprintf(format, a...)))
 	}
-	between := func(key string, x, least, most float64) {
-		if !(x >= least && x <= most) {
-			wrong(key, "%g is not between %g and %g", x, least, most)
+	checkRange := func(key string, x, low, high float64) {
+		if !(x >= low && x <= high) {
+			report(key, "%g is not between %g and %g", x, low, high)
 		}
 	}
 	if f.Name == "" {
-		wrong("name", "is missing")
+		report("name", "is missing")
 	}
-	between("length", f.Length.micros().Span().Seconds(), 1, 3600)
+	checkRange("length", f.Length.micros().Span().Seconds(), 1, 3600)
 	if len(f.Seeds) == 0 {
-		wrong("seeds", "are none")
+		report("seeds", "is empty")
 	}
-	between("proxies.count", float64(f.Proxies.Count), 1, 64)
-	between("control.agents", float64(f.Control.Agents), 0, 64)
-	between("control.voters", float64(f.Control.voterCount()), 0, float64(f.Control.Agents))
+	checkRange("proxies.count", float64(f.Proxies.Count), 1, 64)
+	checkRange("control.agents", float64(f.Control.Agents), 0, 64)
+	checkRange("control.voters", float64(f.Control.voterCount()), 0, float64(f.Control.Agents))
 	if n := f.Control.siteCount(); n > 1 && (n != len(f.Fleet.Zones) || f.Control.Agents%n != 0 || f.Control.Agents == 0) {
-		wrong("control.sites", "%d sites need as many zones, and agents that divide among them", n)
-	}
-	between("proxies.sockets", float64(f.Proxies.Sockets), 64, 1<<20)
-	between("fleet.servers", float64(f.Fleet.Servers), 1, 2000)
-	between("fleet.zones", float64(len(f.Fleet.Zones)), 1, 8)
-	between("load.heed", f.Load.Heed, 0, 1)
-	between("load.leave", f.Load.Leave, 0, 1)
-	between("load.rest", f.Load.Rest, 0, 1)
-	between("load.skew", f.Load.Skew, 0, 1)
-	between("load.every", f.Load.Every.micros().Span().Seconds(), 0.01, 3600)
-	between("fleet.set-up", f.Fleet.SetUp.micros().Span().Seconds(), 0, 60)
+		report("control.sites", "%d sites need as many zones, and a number of agents that is a multiple of it", n)
+	}
+	checkRange("proxies.sockets", float64(f.Proxies.Sockets), 64, 1<<20)
+	checkRange("fleet.servers", float64(f.Fleet.Servers), 1, 2000)
+	checkRange("fleet.zones", float64(len(f.Fleet.Zones)), 1, 8)
+	checkRange("load.heed", f.Load.Heed, 0, 1)
+	checkRange("load.leave", f.Load.Leave, 0, 1)
+	checkRange("load.rest", f.Load.Rest, 0, 1)
+	checkRange("load.skew", f.Load.Skew, 0, 1)
+	checkRange("load.every", f.Load.Every.micros().Span().Seconds(), 0.01, 3600)
+	checkRange("fleet.set-up", f.Fleet.SetUp.micros().Span().Seconds(), 0, 60)
 	if len(f.Fleet.Kind) == 0 {
-		wrong("fleet.kind", "is missing: [[fleet.kind]] names a kind of machine")
+		report("fleet.kind", "is missing: add a [[fleet.kind]] section for each kind of machine")
 	}
 	for i, k := range f.Fleet.Kind {
-		at := fmt.Sprintf("fleet.kind[%d]", i)
-		between(at+".cores", float64(k.Cores), 1, 1024)
-		between(at+".speed", k.Speed, 0.001, 1000)
-		between(at+".share", k.Share, 0.000001, 1e6)
-		between(at+".spread", k.Spread, 0, 0.95)
+		prefix := fmt.Sprintf("fleet.kind[%d]", i)
+		checkRange(prefix+".cores", float64(k.Cores), 1, 1024)
+		checkRange(prefix+".speed", k.Speed, 0.001, 1000)
+		checkRange(prefix+".share", k.Share, 0.000001, 1e6)
+		checkRange(prefix+".spread", k.Spread, 0, 0.95)
 	}
 	if !slices.Contains([]string{"none", "nominal", "rough"}, f.Fleet.Weights) {
-		wrong("fleet.weights", "%q is none of none, nominal, rough", f.Fleet.Weights)
+		report("fleet.weights", "%q is none of none, nominal, rough", f.Fleet.Weights)
 	}
 	if len(f.Product) == 0 {
-		wrong("product", "is missing: [[product]] names one")
+		report("product", "is missing: add a [[product]] section")
 	}
 	names := map[string]bool{}
 	for i, p := range f.Product {
-		at := fmt.Sprintf("product[%d]", i)
+		prefix := fmt.Sprintf("product[%d]", i)
 		if p.Name == "" || strings.ContainsAny(p.Name, " ,=") {
-			wrong(at+".name", "%q is no name", p.Name)
+			report(prefix+".name", "%q is not a valid name", p.Name)
 		}
 		if names[p.Name] {
-			wrong(at+".name", "%q is named twice", p.Name)
+			report(prefix+".name", "%q is named twice", p.Name)
 		}
 		names[p.Name] = true
 		if _, known := idempotencyByName[p.Repeat]; !known {
-			wrong(at+".repeat", "%q is none of %v", p.Repeat, slices.Sorted(maps.Keys(idempotencyByName)))
+			report(prefix+".repeat", "%q is none of %v", p.Repeat, slices.Sorted(maps.Keys(idempotencyByName)))
 		}
 		if _, known := dedupScopeByName[p.Reach]; !known {
-			wrong(at+".reach", "%q is none of all, zone, group", p.Reach)
+			report(prefix+".reach", "%q is none of all, zone, group", p.Reach)
 		}
-		between(at+".limit", p.Limit.micros().Span().Seconds(), 0.01, 600)
+		checkRange(prefix+".limit", p.Limit.micros().Span().Seconds(), 0.01, 600)
 		if p.Quoted.Micros <= 0 || p.Quoted.Micros > p.Limit.Micros {
-			wrong(at+".quoted", "is not between 0 and the limit")
+			report(prefix+".quoted", "must be above 0 and at most the limit")
 		}
 		if p.Share <= 0 {
-			wrong(at+".share", "is not above 0")
+			report(prefix+".share", "must be above 0")
 		}
 		if p.Life.Micros <= 0 {
-			wrong(at+".life", "is not above 0")
+			report(prefix+".life", "must be above 0")
 		}
 	}
 	for i := range f.Load.Bend {
-		at := fmt.Sprintf("load.bend[%d]", i)
+		prefix := fmt.Sprintf("load.bend[%d]", i)
 		if i > 0 && f.Load.Bend[i].At.Micros < f.Load.Bend[i-1].At.Micros {
-			wrong(at+".at", "comes before the one above")
+			report(prefix+".at", "is earlier than the previous point")
 		}
-		between(at+".rate", f.Load.Bend[i].Rate, 0, 100_000)
+		checkRange(prefix+".rate", f.Load.Bend[i].Rate, 0, 100_000)
 	}
-	between("load.rate", f.Load.Rate, 0, 100_000)
+	checkRange("load.rate", f.Load.Rate, 0, 100_000)
 	if f.Load.Rate == 0 && len(f.Load.Bend) == 0 && f.Load.Trace == "" && f.Load.Carried == 0 {
-		wrong("load", "nobody comes: a rate, bends, a trace or carried are needed")
+		report("load", "has no arrivals: set rate, [[load.bend]], trace or carried")
 	}
 	for i, t := range f.Trouble {
-		at := fmt.Sprintf("trouble[%d]", i)
+		prefix := fmt.Sprintf("trouble[%d]", i)
 		if _, known := fleet.Kinds[t.Kind]; !known {
-			wrong(at+".kind", "%q is none of %s", t.Kind, strings.Join(slices.Sorted(maps.Keys(fleet.Kinds)), ", "))
+			report(prefix+".kind", "%q is none of %s", t.Kind, strings.Join(slices.Sorted(maps.Keys(fleet.Kinds)), ", "))
 			continue
 		}
-		of := f.targetCount(t.Kind)
+		targets := f.targetCount(t.Kind)
 		if fleet.OfAgents(t.Kind) && f.Control.Agents == 0 {
-			wrong(at+".kind", "%q needs control.agents", t.Kind)
+			report(prefix+".kind", "%q needs control.agents", t.Kind)
 		}
 		for _, n := range t.Servers {
-			between(at+".servers", float64(n), 0, float64(of-1))
+			checkRange(prefix+".servers", float64(n), 0, float64(targets-1))
 		}
-		between(at+".part", t.Part, 0, 1)
+		checkRange(prefix+".part", t.Part, 0, 1)
 		if t.Part == 0 && t.Servers == nil && t.Kind != "store" && t.Kind != "rolling-restart" && !strings.HasPrefix(t.Kind, "list-") && !fleet.OfAll(t.Kind) {
-			wrong(at, "nobody is in trouble: part or servers is needed")
+			report(prefix, "has no target: set part or servers")
 		}
 		if slices.Contains([]string{"errors", "resets", "drop"}, t.Kind) || strings.HasPrefix(t.Kind, "calls-") {
-			between(at+".size", t.Size, 0.0001, 1)
+			checkRange(prefix+".size", t.Size, 0.0001, 1)
 		}
 	}
 	for name, want := range f.Expect {
 		if _, err := parseBound(want); err != nil {
-			wrong("expect."+name, "%v", err)
+			report("expect."+name, "%v", err)
 		}
 		if !figurePattern.MatchString(name) {
-			wrong("expect."+name, "there is no such figure; `hatchlab figures` lists them")
+			report("expect."+name, "is not a known figure; `hatchlab figures` lists them")
 		}
 	}
 	if f.Load.Trace != "" && len(faults) == 0 {
 		if err := f.readTrace(); err != nil {
-			wrong("load.trace", "%v", err)
+			report("load.trace", "%v", err)
 		}
 	}
 	slices.SortStableFunc(faults, func(a, b error) int { return cmp.Compare(a.Error(), b.Error()) })
 	return faults
 }
 
+// readTrace reads the arrivals of load.trace; a relative path starts at the experiment file's directory.
 func (f *File) readTrace() error {
 	path := f.Load.Trace
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(filepath.Dir(f.Path), path)
 	}
-	in, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer in.Close()
-	f.tracedArrivals, err = load.ReadTrace(in, path, f.products())
+	defer file.Close()
+	f.tracedArrivals, err = load.ReadTrace(file, path, f.products())
 	return err
 }
 
-// bound is a bound on a figure.
+// bound is an expected bound on a figure; times are in milliseconds.
 type bound struct {
 	operator string
 	value    float64
@@ -330,23 +356,23 @@
 
 var boundPattern = regexp.MustCompile(`^(<=|>=|<|>|=)\s*(\S+)$`)
 
-// parseBound reads a bound such as ">= 0.9" or "<= 300ms"; times are figures in milliseconds.
+// parseBound parses a bound such as ">= 0.9" or "<= 300ms". Durations become milliseconds, the unit of figures that are times.
 func parseBound(text string) (bound, error) {
 	parts := boundPattern.FindStringSubmatch(strings.TrimSpace(text))
 	if parts == nil {
-		return bound{}, fmt.Errorf("%q is no bound such as \">= 0.9\" or \"<= 300ms\"", text)
+		return bound{}, fmt.Errorf("%q is not a bound such as \">= 0.9\" or \"<= 300ms\"", text)
 	}
 	if x, err := strconv.ParseFloat(parts[2], 64); err == nil {
 		return bound{parts[1], x}, nil
 	}
 	d, err := time.ParseDuration(parts[2])
 	if err != nil {
-		return bound{}, fmt.Errorf("%q is neither a number nor a time", parts[2])
+		return bound{}, fmt.Errorf("%q is neither a number nor a duration", parts[2])
 	}
 	return bound{parts[1], float64(d.Microseconds()) / 1000}, nil
 }
 
-// isMetBy tells whether a figure keeps to it; one that is no number never does.
+// isMetBy reports whether a figure satisfies the bound. NaN satisfies none.
 func (l bound) isMetBy(x float64) bool {
 	switch l.operator {
 	case "<=":
@@ -361,7 +387,7 @@
 	return x == l.value
 }
 
-// products are what the load needs of the products.
+// products returns the products in the form that the load generator takes.
 func (f *File) products() []load.Product {
 	list := make([]load.Product, len(f.Product))
 	for i, p := range f.Product {
@@ -374,21 +400,21 @@
 	return list
 }
 
-// Plan is what the fleet is made of.
+// Plan returns the description of the simulated fleet.
 func (f *File) Plan() fleet.Plan {
-	x := f.Fleet
-	p := fleet.Plan{Servers: x.Servers, Zones: x.Zones, Between: x.Between.micros(), CellSize: x.CellSize, SetUp: x.SetUp.micros(),
-		Probe: x.Probe.micros(), Load: x.Load.micros(), LoadSpread: x.LoadSpread, LoadChange: x.LoadChange.micros(),
-		GroupCost: x.GroupCost, ConnCap: x.ConnectionsPerCore, QueueCap: x.QueuePerCore, Message: x.Message.micros(),
-		Cold:   fleet.Cold{From: x.Cold.From, Warm: x.Cold.Warm.micros(), Multiple: x.Cold.Multiple, Window: x.Cold.Window.micros()},
-		Notice: x.Notice.micros(), Weights: x.Weights, TellsLoad: x.TellsLoad, Probes: x.Probes, Sheds: x.Sheds}
-	for _, k := range x.Kind {
-		p.Kinds = append(p.Kinds, fleet.Kind{Name: k.Name, Share: k.Share, Cores: k.Cores, Speed: k.Speed, Spread: k.Spread})
-	}
-	return p
+	section := f.Fleet
+	plan := fleet.Plan{Servers: section.Servers, Zones: section.Zones, Between: section.Between.micros(), CellSize: section.CellSize, SetUp: section.SetUp.micros(),
+		Probe: section.Probe.micros(), Load: section.Load.micros(), LoadSpread: section.LoadSpread, LoadChange: section.LoadChange.micros(),
+		GroupCost: section.GroupCost, ConnCap: section.ConnectionsPerCore, QueueCap: section.QueuePerCore, Message: section.Message.micros(),
+		Cold:   fleet.Cold{From: section.Cold.From, Warm: section.Cold.Warm.micros(), Multiple: section.Cold.Multiple, Window: section.Cold.Window.micros()},
+		Notice: section.Notice.micros(), Weights: section.Weights, TellsLoad: section.TellsLoad, Probes: section.Probes, Sheds: section.Sheds}
+	for _, kind := range section.Kind {
+		plan.Kinds = append(plan.Kinds, fleet.Kind{Name: kind.Name, Share: kind.Share, Cores: kind.Cores, Speed: kind.Speed, Spread: kind.Spread})
+	}
+	return plan
 }
 
-// arrivals are those of a run with a seed.
+// arrivals returns the arrivals of a run, in order of time: those of the trace up to the run's length, or else drawn by the seed.
 func (f *File) arrivals(length ledger.Micros, seed uint64) []load.Arrival {
 	if f.tracedArrivals != nil {
 		end := slices.IndexFunc(f.tracedArrivals, func(a load.Arrival) bool { return a.At >= length })
@@ -407,17 +433,18 @@
 	return load.Draw(bends, length, f.products(), load.Groups{Count: f.Load.Groups, Zipf: f.Load.Zipf}, seed)
 }
 
+// clientHabits returns how the clients behave.
 func (f *File) clientHabits() load.Habits {
 	l := f.Load
 	return load.Habits{Retries: l.Retries, Wait: l.Wait.micros(), Heed: l.Heed, Rejoin: l.Rejoin.micros(), Return: l.Return.micros(),
 		Every: l.Every.micros(), Marks: l.Marks, Leave: l.Leave, Rest: l.Rest, Skew: l.Skew, Zones: len(f.Fleet.Zones)}
 }
 
-// troubleList is the list of troubles.
+// troubleList returns the troubles in the form that the fleet's package takes, whose targets are not drawn yet.
 func (f *File) troubleList() []fleet.Trouble {
-	var script []fleet.Trouble
+	var list []fleet.Trouble
 	for _, t := range f.Trouble {
-		script = append(script, fleet.Trouble{Kind: t.Kind, At: t.At.micros(), For: t.For.micros(), Part: t.Part, Servers: t.Servers, Size: t.Size})
+		list = append(list, fleet.Trouble{Kind: t.Kind, At: t.At.micros(), For: t.For.micros(), Part: t.Part, Servers: t.Servers, Size: t.Size})
 	}
-	return script
+	return list
 }
