--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -22,90 +22,92 @@
 	"hatchproxy/lab/sysfault"
 )
 
-// Placement says who places the connections.
+// Placement says how clients' connections are placed on servers: by the proxies under test, or by a baseline without any.
 type Placement string
 
 const (
 	PlacementProxies Placement = "proxies"
-	PlacementRandom  Placement = "random"   // a client picks a ready server by chance
-	PlacementSingle  Placement = "straight" // all go to one server
-	PlacementBest    Placement = "best"     // a policy that sees the true state of all servers
+	PlacementRandom  Placement = "random"   // each client connects to a random ready server
+	PlacementSingle  Placement = "straight" // all clients connect to the first server
+	PlacementBest    Placement = "best"     // a policy that knows the true state of all servers
 )
 
-// Placements are all.
+// Placements lists all placements.
 var Placements = []Placement{PlacementProxies, PlacementRandom, PlacementSingle, PlacementBest}
 
-// Result is what a run came to.
+// Result is the outcome of a run.
 type Result struct {
 	Experiment          string             `json:"experiment"`
 	Seed                uint64             `json:"seed"`
 	Placement           Placement          `json:"way"`
-	Proxy               string             `json:"proxy,omitempty"`
+	Proxy               string             `json:"proxy,omitempty"` // file name of the proxy's binary; "" for a baseline
 	LengthSeconds       float64            `json:"length_s"`
 	Figures             map[string]float64 `json:"figures"`
-	Shortfalls          []string           `json:"shortfalls"`
-	Breaches            []string           `json:"breaches"`
-	Crashes             []string           `json:"crashes,omitempty"`
+	Shortfalls          []string           `json:"shortfalls"`        // what did not meet the expectations; empty if the run passed
+	Breaches            []string           `json:"breaches"`          // of the protocol's rules, the first maxReportedBreaches
+	Crashes             []string           `json:"crashes,omitempty"` // of proxies, each with the end of its log
 	Troubles            []TroubleInterval  `json:"troubles"`
-	ServedBySecond      []float64          `json:"served_by_second"` // -1 where nothing was asked for
+	ServedBySecond      []float64          `json:"served_by_second"` // share of the wanted time, weighted by gain; -1 where none was wanted
 	ArrivalsBySecond    []float64          `json:"arrivals_by_second"`
-	EstablishedBySecond [][]int            `json:"standing_by_second"` // by server
+	EstablishedBySecond [][]int            `json:"standing_by_second"` // connections of each server
 	SetUpQuantiles      []Quantile         `json:"set_up"`
 	LineQuantiles       []Quantile         `json:"line"`
 }
 
-// TroubleInterval is a trouble's place in time.
+// TroubleInterval is the time that a trouble lasted, from the run's start.
 type TroubleInterval struct {
 	FromSeconds float64 `json:"from_s"`
 	ToSeconds   float64 `json:"to_s"`
 	Text        string  `json:"text"`
 }
 
-// Quantile is a point of a latency's distribution.
+// Quantile is a point of a latency distribution: a share Q of the samples took at most MS milliseconds.
 type Quantile struct {
 	Q  float64 `json:"q"`
 	MS float64 `json:"ms"`
 }
 
-// quantiles are those that are plotted and told.
+// quantiles are the points of the latency distributions in a result.
 var quantiles = []float64{0.01, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999, 0.9999, 1}
 
-// figureDescriptions are the figures of a result, each with what it tells. Those of the rules are breach.NAME.
+// figureDescriptions lists the names of a result's figures with their meaning. In a name, pQ stands for p50, p90, p99, p99.9
+// or p100, and RULE for the name of a protocol rule.
 var figureDescriptions = [][2]string{
-	{"served", "share of the seconds asked for that were served well, by gain"},
-	{"served-worst-10s", "the same in the worst 10 s"},
-	{"served-after", "the same from 20 s after the last trouble's end on; the whole run's last fifth if that is later"},
-	{"recovered-s", "seconds from the last trouble's end until 9 tenths are served, for 3 s running; -1 for never"},
-	{"asks", "connections that clients asked for"}, {"ups", "that stood"}, {"busy", "that were pushed back"},
-	{"failed", "that were answered with a failure"}, {"nothing", "that got no answer"}, {"refused", "that could not connect"},
-	{"retries", "retries"}, {"given-up", "wishes that used all retries up"}, {"moves", "clients that heard MOVE"},
-	{"moves-share", "moves for each connection that stood"}, {"breaks", "standing connections that broke"},
+	{"served", "share of the connected time that clients wanted which was served well, weighted by gain"},
+	{"served-worst-10s", "lowest share served in any 10 s"},
+	{"served-after", "share served from 20 s after the end of the last trouble, but at least in the last fifth of the run"},
+	{"recovered-s", "seconds from the end of the last trouble until at least 0.9 is served in 3 consecutive seconds; -1 for never"},
+	{"asks", "requests for a connection"}, {"ups", "requests answered with UP"}, {"busy", "requests answered with BUSY"},
+	{"failed", "requests answered with an error"}, {"nothing", "requests without an answer"}, {"refused", "requests whose client could not connect"},
+	{"retries", "retries"}, {"given-up", "times that a client used up its retries"}, {"moves", "MOVE messages received by clients"},
+	{"moves-share", "moves per established connection"}, {"breaks", "established connections that broke"},
 	{"messages", "messages sent"},
-	{"set-up-pQ", "ms from when a connection was meant to be asked for until it stood; Q is 50, 90, 99, 99.9 or 100"},
-	{"answer-pQ", "ms from when a line was meant to be sent until its final answer"},
-	{"line-pQ", "ms from when a message was meant to be sent until its answer"},
-	{"late-arrival-pQ", "ms by which the generator itself sent an arrival late"},
-	{"late-line-pQ", "ms by which the generator itself sent a message late"},
-	{"answers-over-limit", "answers that came later than 1 s"},
-	{"breaches", "broken rules"}, {"breach.RULE", "of one kind"},
-	{"sends-after-drain", "the same as breach.drain-kept"}, {"tipped", "cold servers that tipped over"},
-	{"order-pQ", "ms from when an order was given until an instance heard it"},
-	{"orders-unheard", "orders that an instance had not heard within 10 s, of all instances that were not stopped"},
-	{"drained-left", "connections that stood at a server 8 s after the last instance heard that it drains, or at the order's end"},
-	{"agents-broken", "promises broken by what was agreed on and what instances go by (docs/faults.md)"},
-	{"settled-s", "seconds from the last fault's end until all agents have a new command; -1 for never"},
-	{"not-once", "instances that a roll has not started anew exactly once"},
-	{"unheld-ms", "ms for which nobody could conduct, at the longest, seen each 40 ms"},
-	{"told-s", "seconds from then until all instances go by it; -1 for never"},
-	{"restarts-failed", "rolling restarts that did not end well"},
-	{"crashes", "proxies that ended by themselves"},
-	{"late-ends", "planned restarts of proxies that had to be killed, or ended with an error"},
-	{"calls-failed", "system calls of proxies that failed or were cut short"},
-	{"proxy-cpu", "cores that the proxies used, on average"}, {"proxy-mb", "memory of the largest proxy, MB"},
-	{"lab-cpu", "cores that this program used, on average"}, {"standing-max", "most connections that stood at once"},
-	{"carried-lost", "connections from before the run that did not come up"},
+	{"set-up-pQ", "ms from the scheduled time of the first request until the connection was established; Q is 50, 90, 99, 99.9 or 100"},
+	{"answer-pQ", "ms from the scheduled time of a request until its final answer"},
+	{"line-pQ", "ms from the scheduled time of a message until its answer"},
+	{"late-arrival-pQ", "ms by which the load generator itself started an arrival late"},
+	{"late-line-pQ", "ms by which the load generator itself sent a message late"},
+	{"answers-over-limit", "answers that took longer than 1 s"},
+	{"breaches", "breaches of protocol rules"}, {"breach.RULE", "breaches of one rule"},
+	{"sends-after-drain", "the same as breach.drain-kept"}, {"tipped", "cold servers that fell under overload"},
+	{"order-pQ", "ms from when an order was issued until an instance received it"},
+	{"orders-unheard", "orders that an instance did not receive within 10 s, summed over instances"},
+	{"drained-left", "connections established at a server 8 s after it was ordered to drain, or 200 ms before the order's end; the largest"},
+	{"agents-broken", "breaches of the rules of agents and instances (docs/faults.md)"},
+	{"settled-s", "seconds from the end of the last fault until all agents have a new command; -1 for never"},
+	{"not-once", "instances that a roll did not restart exactly once"},
+	{"unheld-ms", "longest time without a conductor in ms, sampled every 40 ms"},
+	{"told-s", "seconds from the end of the last fault until all instances act on that command; -1 for never"},
+	{"restarts-failed", "rolling restarts that failed"},
+	{"crashes", "proxies that exited unexpectedly"},
+	{"late-ends", "planned restarts in which a proxy had to be killed or exited with an error"},
+	{"calls-failed", "system calls of proxies that the run made fail or cut short"},
+	{"proxy-cpu", "CPU cores that the proxies used, on average"}, {"proxy-mb", "resident memory of the largest proxy, MB"},
+	{"lab-cpu", "CPU cores that this program used, on average"}, {"standing-max", "most connections established at once, sampled every second"},
+	{"carried-lost", "connections from before the run that were not established again"},
 }
 
+// figurePattern matches the names of all figures.
 var figurePattern = func() *regexp.Regexp {
 	var forms []string
 	for _, f := range figureDescriptions {
@@ -116,88 +118,92 @@
 	return regexp.MustCompile("^(" + strings.Join(forms, "|") + ")$")
 }()
 
-// Figures lists the figures with what each tells.
+// Figures returns the name and the meaning of each figure; see figureDescriptions.
 func Figures() [][2]string { return figureDescriptions }
 
-// RunOptions is what a run is to be.
+// RunOptions are the options of a run.
 type RunOptions struct {
 	Seed        uint64
 	Placement   Placement
-	ProxyBinary string // of the proxies
-	AgentBinary string // of the agents, where the experiment has any
-	Dir         string // for their files, which stay there
-	Quick       bool
-	Logf        func(format string, a ...any) // progress
+	ProxyBinary string                        // path of the proxy's binary
+	AgentBinary string                        // path of the agent's binary; only needed if the experiment has agents
+	Dir         string                        // for the files of proxies and agents, which are not removed
+	Quick       bool                          // limits the run's length to maxQuickLength
+	Logf        func(format string, a ...any) // reports progress; may be nil
 }
 
-// maxQuickLength is how long a quick run may be, so that all of it ends within a minute.
+// maxQuickLength limits the length of a quick run, so that all of it ends within a minute.
 const maxQuickLength = 40 * ledger.Second
 
-// finishWait is how long is waited at the end for what is still under way, beside the longest hard limit.
+// finishWait bounds the wait at a run's end: a quarter of it is left, after the clients have gone, to attempts under way at
+// servers.
 const finishWait = 1200 * ledger.Millisecond
 
-// run is one under way.
+// run is the state of a run.
 type run struct {
 	*File
 	RunOptions
 	eventLog         *ledger.Book
 	fleet            *fleet.Fleet
 	proxies          []*instance
-	agents           *agents // nil without
+	agents           *agents // nil if the experiment has none
 	clients          *load.Clients
 	tally            *load.Tally
 	length           ledger.Micros
 	steps            []fleet.Step
-	stopCrowds       map[[2]int]func() // by step and proxy: what ends them
-	links            *proxyLinks       // between proxies and servers; nil where none is in trouble
-	background       sync.WaitGroup    // troubles of proxies under way
+	stopCrowds       map[[2]int]func() // by step and proxy: ends the crowd of idle connections there
+	links            *proxyLinks       // between proxies and servers; nil if the script has no trouble on them
+	background       sync.WaitGroup    // of troubles that go on beside the script
 	troubleIntervals []TroubleInterval
 	errMu            sync.Mutex
-	err              error
+	err              error // the first one of the troubles
 }
 
-// Run plays an experiment once.
-func (f *File) Run(ctx context.Context, o RunOptions) (*Result, error) {
-	r := &run{File: f, RunOptions: o, eventLog: ledger.Open(), length: f.Length.micros(), stopCrowds: map[[2]int]func(){}}
-	if o.Quick {
+// Run plays the experiment once. Broken rules and missed expectations are reported in the result; an error means that the
+// run could not be carried out, or that ctx ended.
+func (f *File) Run(ctx context.Context, options RunOptions) (*Result, error) {
+	r := &run{File: f, RunOptions: options, eventLog: ledger.Open(), length: f.Length.micros(), stopCrowds: map[[2]int]func(){}}
+	if options.Quick {
 		r.length = min(r.length, maxQuickLength)
 	}
 	var err error
-	if r.steps, err = fleet.Draw(f.troubleList(), f.targetCount, o.Seed); err != nil {
+	if r.steps, err = fleet.Draw(f.troubleList(), f.targetCount, options.Seed); err != nil {
 		return nil, err
 	}
-	if r.fleet, err = fleet.Start(r.eventLog, f.Plan(), o.Seed); err != nil {
-		return nil, fmt.Errorf("the fleet: %w", err)
+	if r.fleet, err = fleet.Start(r.eventLog, f.Plan(), options.Seed); err != nil {
+		return nil, fmt.Errorf("start the server fleet: %w", err)
 	}
 	defer r.fleet.Stop()
-	if o.Placement == PlacementProxies {
+	if options.Placement == PlacementProxies {
 		defer r.stop()
 		if err := r.startProxies(ctx); err != nil {
 			return nil, err
 		}
 	}
 	r.tally = load.NewTally(r.length)
-	r.clients = load.NewClients(r.eventLog, r.tally, f.products(), r.route(), f.clientHabits(), r.length, o.Seed)
+	r.clients = load.NewClients(r.eventLog, r.tally, f.products(), r.route(), f.clientHabits(), r.length, options.Seed)
 	return r.play(ctx)
 }
 
+// startProxies sets up all proxies and their links, and starts them, by agents if the experiment has any. It returns once all
+// are ready.
 func (r *run) startProxies(ctx context.Context) error {
 	for n := range r.File.Proxies.Count {
 		zone := n % len(r.File.Fleet.Zones)
-		front, err := r.fleet.Front(n, zone)
+		discovery, err := r.fleet.Front(n, zone)
 		if err != nil {
 			return err
 		}
-		address, held, err := reserveAddress(n)
+		address, reservation, err := reserveAddress(n)
 		if err != nil {
 			return err
 		}
-		i := &instance{number: n, zone: zone, address: address, dir: r.Dir, binary: r.ProxyBinary, discovery: front, reservation: held,
+		proxy := &instance{number: n, zone: zone, address: address, dir: r.Dir, binary: r.ProxyBinary, discovery: discovery, reservation: reservation,
 			seed: r.Seed*1_000_003 + uint64(n), syscalls: syscallFaults{intercepted: r.interceptedCalls()}}
-		if err := i.writeConfig(r.File); err != nil {
+		if err := proxy.writeConfig(r.File); err != nil {
 			return err
 		}
-		r.proxies = append(r.proxies, i)
+		r.proxies = append(r.proxies, proxy)
 	}
 	if err := r.startLinks(); err != nil {
 		return err
@@ -205,13 +211,13 @@
 	if r.Control.Agents > 0 {
 		return r.startAgents(ctx)
 	}
-	faults := make([]error, len(r.proxies))
+	errs := make([]error, len(r.proxies))
 	var starting sync.WaitGroup
-	for n, i := range r.proxies {
-		starting.Go(func() { faults[n] = i.start() })
+	for n, proxy := range r.proxies {
+		starting.Go(func() { errs[n] = proxy.start() })
 	}
 	starting.Wait()
-	for _, err := range faults {
+	for _, err := range errs {
 		if err != nil {
 			return err
 		}
@@ -219,25 +225,27 @@
 	return nil
 }
 
+// stop ends agents, proxies and links, after the troubles that go on in the background.
 func (r *run) stop() {
 	r.background.Wait()
 	if r.agents != nil {
 		r.agents.stop()
 	}
-	var ending sync.WaitGroup
-	for _, i := range r.proxies {
-		ending.Go(func() {
-			i.terminate(syscall.SIGKILL)
-			_ = i.reservation.Close()
+	var stopping sync.WaitGroup
+	for _, proxy := range r.proxies {
+		stopping.Go(func() {
+			proxy.terminate(syscall.SIGKILL)
+			_ = proxy.reservation.Close()
 		})
 	}
-	ending.Wait()
+	stopping.Wait()
 	if r.links != nil {
 		r.links.net.Close()
 	}
 }
 
-// route says where clients connect.
+// route returns the function by which clients choose where to connect. With proxies, that is a random ready one of the
+// client's zone, or of any zone if its own has none.
 func (r *run) route() load.Route {
 	switch r.Placement {
 	case PlacementRandom:
@@ -255,28 +263,29 @@
 		}
 	}
 	return func(rng *rand.Rand, zone int, _ uint64) (string, int, bool) {
-		var own, any []*instance
-		for _, i := range r.proxies {
-			i.mu.Lock()
-			if i.ready {
-				any = append(any, i)
-				if i.zone == zone {
-					own = append(own, i)
+		var inZone, inAllZones []*instance
+		for _, proxy := range r.proxies {
+			proxy.mu.Lock()
+			if proxy.ready {
+				inAllZones = append(inAllZones, proxy)
+				if proxy.zone == zone {
+					inZone = append(inZone, proxy)
 				}
 			}
-			i.mu.Unlock()
+			proxy.mu.Unlock()
 		}
-		if len(own) == 0 {
-			own = any
+		if len(inZone) == 0 {
+			inZone = inAllZones
 		}
-		if len(own) == 0 {
+		if len(inZone) == 0 {
 			return "", ledger.None, false
 		}
-		i := own[rng.IntN(len(own))]
-		return i.address, i.number, true
+		proxy := inZone[rng.IntN(len(inZone))]
+		return proxy.address, proxy.number, true
 	}
 }
 
+// play plays the load and the troubles, then checks what was seen and fills in the result.
 func (r *run) play(ctx context.Context) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -286,79 +295,79 @@
 	}
 	lost := 0
 	if n := r.Load.Carried; n > 0 {
-		r.logf("carrying %d connections over", n)
-		crowd := load.Crowd(n, 0, 0, r.Seed)
-		for i := range crowd {
-			crowd[i].Life = r.products()[0].Life * 4
+		r.logf("resuming %d connections from before the run", n)
+		resumed := load.Crowd(n, 0, 0, r.Seed)
+		for i := range resumed {
+			resumed[i].Life = r.products()[0].Life * 4
 		}
-		lost = r.clients.Carry(ctx, crowd, func(i int) string { return r.fleet.Servers[i%len(r.fleet.Servers)].UID })
+		lost = r.clients.Carry(ctx, resumed, func(i int) string { return r.fleet.Servers[i%len(r.fleet.Servers)].UID })
 	}
 	arrivals := r.arrivals(r.length, r.Seed)
-	_, labBefore := r.cpuUsed()
-	proxiesBefore, _ := r.cpuUsed()
-	began := time.Now()
+	_, labCPUBefore := r.cpuUsed()
+	proxyCPUBefore, _ := r.cpuUsed()
+	startedAt := time.Now()
 	go r.clients.Play(ctx, arrivals)
 	start := r.clients.Start()
-	var scripted sync.WaitGroup
-	scripted.Go(func() { r.playTroubles(ctx, start) })
+	var script sync.WaitGroup
+	script.Go(func() { r.playTroubles(ctx, start) })
 	if r.agents != nil {
-		scripted.Go(func() { r.awaitSettled(ctx) })
+		script.Go(func() { r.awaitSettled(ctx) })
 	}
 	if r.Placement == PlacementBest {
 		go r.rebalance(ctx)
 	}
-	standingMost := 0
+	maxEstablished := 0
 	for second := 1; ; second++ {
 		at := start + min(ledger.Micros(second)*ledger.Second, r.length)
 		select {
 		case <-time.After((at - r.eventLog.Now()).Span()):
 		case <-ctx.Done():
-			scripted.Wait()
+			script.Wait()
 			r.clients.Wait()
 			return nil, ctx.Err()
 		}
-		standing := r.fleet.Standing()
-		result.EstablishedBySecond = append(result.EstablishedBySecond, standing)
-		sum := 0
-		for _, n := range standing {
-			sum += n
+		established := r.fleet.Standing()
+		result.EstablishedBySecond = append(result.EstablishedBySecond, established)
+		total := 0
+		for _, n := range established {
+			total += n
 		}
-		standingMost = max(standingMost, sum)
+		maxEstablished = max(maxEstablished, total)
 		if second%5 == 0 {
-			r.logf("%3d of %.0f s, %d standing", second, r.length.Span().Seconds(), sum)
+			r.logf("%3d of %.0f s, %d connections", second, r.length.Span().Seconds(), total)
 		}
 		if at >= start+r.length {
 			break
 		}
 	}
-	proxiesAfter, labAfter := r.cpuUsed()
-	took := time.Since(began).Seconds()
-	longest := ledger.Micros(0)
+	proxyCPUAfter, labCPUAfter := r.cpuUsed()
+	seconds := time.Since(startedAt).Seconds()
+	longestLimit := ledger.Micros(0)
 	for _, p := range r.products() {
-		longest = max(longest, p.Limit)
+		longestLimit = max(longestLimit, p.Limit)
 	}
 	end := r.eventLog.Now()
-	scripted.Wait()
+	script.Wait()
 	r.background.Wait()
 	r.clients.Wait()
 	if r.agents != nil {
 		r.checkAgents(ctx)
 	}
-	// What is still under way at servers ends, so that the record is whole.
+	// Let attempts under way at servers end, so that the event log is complete.
 	time.Sleep(finishWait.Span() / 4)
 	if r.err != nil {
 		return nil, r.err
 	}
 	breaches := r.checkRules(end)
 	result.Troubles = r.troubleIntervals
-	r.fillFigures(result, breaches, standingMost, lost)
-	result.Figures["proxy-cpu"] = (proxiesAfter - proxiesBefore).Seconds() / took
-	result.Figures["lab-cpu"] = (labAfter - labBefore).Seconds() / took
+	r.fillFigures(result, breaches, maxEstablished, lost)
+	result.Figures["proxy-cpu"] = (proxyCPUAfter - proxyCPUBefore).Seconds() / seconds
+	result.Figures["lab-cpu"] = (labCPUAfter - labCPUBefore).Seconds() / seconds
 	r.checkExpectations(result)
 	return result, nil
 }
 
-// rebalance has the policy that sees all move connections off full servers.
+// rebalance lets the policy of PlacementBest move connections off full servers, until ctx ends.
 func (r *run) rebalance(ctx context.Context) {
 	for {
 		select {
@@ -370,46 +379,50 @@
 	}
 }
 
+// logf reports progress if Logf is set.
 func (r *run) logf(format string, a ...any) {
 	if r.Logf != nil {
 		r.Logf(format, a...)
 	}
 }
 
-// cpuUsed is what the proxies and this program have used.
+// cpuUsed returns the CPU time that the proxies and this program have used so far.
 func (r *run) cpuUsed() (proxies, lab time.Duration) {
-	for _, i := range r.proxies {
-		c, _ := i.usage()
-		proxies += c
+	for _, proxy := range r.proxies {
+		used, _ := proxy.usage()
+		proxies += used
 	}
 	lab, _, _ = ProcessUsage(os.Getpid())
 	return proxies, lab
 }
 
-// checkRules has the record judged; end is when the clients left.
+// checkRules checks the event log against the protocol's rules. end is when the run's load ended: what was not due by then is
+// no breach. A baseline has no proxies to check.
 func (r *run) checkRules(end ledger.Micros) []ledger.Breach {
 	if r.Placement != PlacementProxies {
-		return nil // there is nobody to be judged
+		return nil
 	}
 	return ledger.Judge(r.eventLog.Events(), r.ruleParameters(end))
 }
 
+// ruleParameters returns what the protocol's rules depend on: limits, products, and the place of each server.
 func (f *File) ruleParameters(end ledger.Micros) ledger.Terms {
-	terms := ledger.Terms{Grace: f.Proxies.Grace.micros(), Dispatches: f.Proxies.Dispatches, End: end}
+	parameters := ledger.Terms{Grace: f.Proxies.Grace.micros(), Dispatches: f.Proxies.Dispatches, End: end}
 	for _, p := range f.Product {
-		terms.Products = append(terms.Products, ledger.Product{Name: p.Name, Repeat: idempotencyByName[p.Repeat], Reach: dedupScopeByName[p.Reach], Window: p.Window.micros()})
+		parameters.Products = append(parameters.Products, ledger.Product{Name: p.Name, Repeat: idempotencyByName[p.Repeat], Reach: dedupScopeByName[p.Reach], Window: p.Window.micros()})
 	}
 	for i := range f.Fleet.Servers {
 		cell := 0
 		if f.Fleet.CellSize > 0 {
 			cell = i / f.Fleet.CellSize
 		}
-		terms.Servers = append(terms.Servers, ledger.Place{Zone: i % len(f.Fleet.Zones), Cell: cell})
+		parameters.Servers = append(parameters.Servers, ledger.Place{Zone: i % len(f.Fleet.Zones), Cell: cell})
 	}
-	return terms
+	return parameters
 }
 
-// playTroubles plays the script.
+// playTroubles begins and ends each step of the script at its time after start. Steps that would begin at or after the run's
+// end are left out, and those that would go on are ended then.
 func (r *run) playTroubles(ctx context.Context, start ledger.Micros) {
 	type moment struct {
 		at   ledger.Micros
@@ -449,6 +462,7 @@
 	}
 }
 
+// recordError keeps the first error of a trouble, which fails the run.
 func (r *run) recordError(err error) {
 	if err == nil {
 		return
@@ -460,82 +474,83 @@
 	}
 }
 
-func (r *run) recordProxyEvent(k ledger.Kind, n int) {
-	r.eventLog.Write(ledger.Event{Kind: k, Proxy: n, Server: ledger.None, Product: ledger.None})
+// recordProxyEvent writes an event of proxy n into the event log.
+func (r *run) recordProxyEvent(kind ledger.Kind, n int) {
+	r.eventLog.Write(ledger.Event{Kind: kind, Proxy: n, Server: ledger.None, Product: ledger.None})
 }
 
-// applyToProxies does a step to proxies.
-func (r *run) applyToProxies(s fleet.Step, ends bool) error {
-	for _, n := range s.Servers {
+// applyToProxies begins or ends a step at the proxies that it names. What takes time goes on in the background.
+func (r *run) applyToProxies(step fleet.Step, ends bool) error {
+	for _, n := range step.Servers {
 		if n >= len(r.proxies) {
-			continue // there are none in this run
+			continue // a baseline has no proxies
 		}
-		i := r.proxies[n]
+		proxy := r.proxies[n]
 		switch {
-		case s.Kind == "proxy-stop" && !ends:
+		case step.Kind == "proxy-stop" && !ends:
 			r.recordProxyEvent(ledger.ProxyStopped, n)
-			i.signal(syscall.SIGSTOP)
-		case s.Kind == "proxy-stop":
-			i.signal(syscall.SIGCONT)
+			proxy.signal(syscall.SIGSTOP)
+		case step.Kind == "proxy-stop":
+			proxy.signal(syscall.SIGCONT)
 			r.recordProxyEvent(ledger.ProxyWoken, n)
-		case s.Kind == "proxy-reload" && !ends:
-			i.signal(syscall.SIGHUP)
-		case s.Kind == "list-moved" && !ends:
-			if err := i.discovery.Move(1500 * time.Millisecond); err != nil {
+		case step.Kind == "proxy-reload" && !ends:
+			proxy.signal(syscall.SIGHUP)
+		case step.Kind == "list-moved" && !ends:
+			if err := proxy.discovery.Move(1500 * time.Millisecond); err != nil {
 				return err
 			}
-			if err := i.writeConfig(r.File); err != nil {
+			if err := proxy.writeConfig(r.File); err != nil {
 				return err
 			}
-			i.signal(syscall.SIGHUP)
-		case strings.HasPrefix(s.Kind, "way-"):
-			r.links.applyTrouble(r, s, n, ends)
-		case strings.HasPrefix(s.Kind, "calls-") && !ends:
-			fault := callFaults[s.Kind]
-			fault.Chance = s.Size
-			i.syscalls.begin(s.Order, fault)
-		case strings.HasPrefix(s.Kind, "calls-"):
-			i.syscalls.end(s.Order)
-		case s.Kind == "proxy-crowd" && !ends:
-			r.stopCrowds[[2]int{s.Order, n}] = openIdleCrowd(i.address, int(s.Size), r.newRand(s, n))
-		case s.Kind == "proxy-crowd":
-			if end := r.stopCrowds[[2]int{s.Order, n}]; end != nil {
+			proxy.signal(syscall.SIGHUP)
+		case strings.HasPrefix(step.Kind, "way-"):
+			r.links.applyTrouble(r, step, n, ends)
+		case strings.HasPrefix(step.Kind, "calls-") && !ends:
+			fault := callFaults[step.Kind]
+			fault.Chance = step.Size
+			proxy.syscalls.begin(step.Order, fault)
+		case strings.HasPrefix(step.Kind, "calls-"):
+			proxy.syscalls.end(step.Order)
+		case step.Kind == "proxy-crowd" && !ends:
+			r.stopCrowds[[2]int{step.Order, n}] = openIdleCrowd(proxy.address, int(step.Size), r.newRand(step, n))
+		case step.Kind == "proxy-crowd":
+			if end := r.stopCrowds[[2]int{step.Order, n}]; end != nil {
 				r.background.Go(end)
 			}
-		case s.Kind == "proxy-series" && !ends:
-			r.background.Go(func() { r.recordError(i.reloadSeries(r.File, r.newRand(s, n))) })
-		case s.Kind == "proxy-series":
-		case s.Kind == "proxy-retire" && !ends:
+		case step.Kind == "proxy-series" && !ends:
+			r.background.Go(func() { r.recordError(proxy.reloadSeries(r.File, r.newRand(step, n))) })
+		case step.Kind == "proxy-series":
+		case step.Kind == "proxy-retire" && !ends:
 			time.AfterFunc(routingDelay, func() {
-				i.mu.Lock()
-				defer i.mu.Unlock()
-				i.ready = i.ready && i.shouldRun // it may be back already
+				proxy.mu.Lock()
+				defer proxy.mu.Unlock()
+				proxy.ready = proxy.ready && proxy.shouldRun // it may have been restarted already
 			})
 			r.background.Go(func() {
-				if !i.retire(r.longestLimit(), r.newRand(s, n)) {
-					i.mu.Lock()
-					i.uncleanExits++
-					i.mu.Unlock()
+				if !proxy.retire(r.longestLimit(), r.newRand(step, n)) {
+					proxy.mu.Lock()
+					proxy.uncleanExits++
+					proxy.mu.Unlock()
 				}
 			})
-		case s.Kind == "proxy-kill" && !ends:
+		case step.Kind == "proxy-kill" && !ends:
 			r.recordProxyEvent(ledger.ProxyKilled, n)
-			i.mu.Lock()
-			i.ready = false
-			i.mu.Unlock()
-			i.terminate(syscall.SIGKILL)
-		case s.Kind == "proxy-leave" && !ends:
-			i.mu.Lock()
-			i.ready = false
-			i.mu.Unlock()
-			r.background.Go(func() { i.terminate(syscall.SIGTERM) })
-		case s.Kind == "proxy-kill", s.Kind == "proxy-leave", s.Kind == "proxy-retire":
-			i.mu.Lock()
-			ended := i.exited
-			i.mu.Unlock()
+			proxy.mu.Lock()
+			proxy.ready = false
+			proxy.mu.Unlock()
+			proxy.terminate(syscall.SIGKILL)
+		case step.Kind == "proxy-leave" && !ends:
+			proxy.mu.Lock()
+			proxy.ready = false
+			proxy.mu.Unlock()
+			r.background.Go(func() { proxy.terminate(syscall.SIGTERM) })
+		case step.Kind == "proxy-kill", step.Kind == "proxy-leave", step.Kind == "proxy-retire":
+			proxy.mu.Lock()
+			exited := proxy.exited
+			proxy.mu.Unlock()
 			r.background.Go(func() {
-				<-ended
-				if err := i.start(); err != nil {
+				<-exited
+				if err := proxy.start(); err != nil {
 					r.recordError(err)
 					return
 				}
@@ -546,87 +561,89 @@
 	return nil
 }
 
-// interceptedCalls are the system calls that the script makes fail.
-func (r *run) interceptedCalls() (groups []sysfault.Call) {
+// interceptedCalls returns the system calls that the script makes fail.
+func (r *run) interceptedCalls() (calls []sysfault.Call) {
 	for _, s := range r.steps {
-		if fault, is := callFaults[s.Kind]; is && !slices.Contains(groups, fault.Call) {
-			groups = append(groups, fault.Call)
+		if fault, isCallFault := callFaults[s.Kind]; isCallFault && !slices.Contains(calls, fault.Call) {
+			calls = append(calls, fault.Call)
 		}
 	}
-	return groups
+	return calls
 }
 
-// newRand is a source of chance for a step at a proxy.
-func (r *run) newRand(s fleet.Step, proxy int) *rand.Rand {
-	return rand.New(rand.NewPCG(r.Seed, uint64(s.Order)<<16|uint64(proxy)))
+// newRand returns the random source of a step at a proxy.
+func (r *run) newRand(step fleet.Step, proxy int) *rand.Rand {
+	return rand.New(rand.NewPCG(r.Seed, uint64(step.Order)<<16|uint64(proxy)))
 }
 
-// fillFigures sets the figures.
-func (r *run) fillFigures(result *Result, breaches []ledger.Breach, standing, lost int) {
-	t, f := r.tally, result.Figures
-	f["served"], f["served-worst-10s"] = t.Share(0, r.length), t.WorstWindow(10)
-	last := ledger.Micros(0)
+// fillFigures sets the figures of a result, its distributions and its values by second. maxEstablished is the largest number
+// of connections, lost the number of connections from before the run that were not established again.
+func (r *run) fillFigures(result *Result, breaches []ledger.Breach, maxEstablished, lost int) {
+	tally, figures := r.tally, result.Figures
+	figures["served"], figures["served-worst-10s"] = tally.Share(0, r.length), tally.WorstWindow(10)
+	lastTroubleEnd := ledger.Micros(0)
 	for _, s := range r.steps {
-		last = max(last, min(s.At+s.For, r.length))
+		lastTroubleEnd = max(lastTroubleEnd, min(s.At+s.For, r.length))
 	}
-	f["served-after"] = t.Share(max(min(last+20*ledger.Second, r.length*4/5), 0), r.length)
-	result.ServedBySecond = t.BySecond()
-	f["recovered-s"] = recoverySeconds(result.ServedBySecond, int((last+ledger.Second-1)/ledger.Second))
-	for i, x := range result.ServedBySecond {
+	figures["served-after"] = tally.Share(max(min(lastTroubleEnd+20*ledger.Second, r.length*4/5), 0), r.length)
+	result.ServedBySecond = tally.BySecond()
+	figures["recovered-s"] = recoverySeconds(result.ServedBySecond, int((lastTroubleEnd+ledger.Second-1)/ledger.Second))
+	for second, x := range result.ServedBySecond {
 		if math.IsNaN(x) {
-			result.ServedBySecond[i] = -1
+			result.ServedBySecond[second] = -1
 		}
 	}
-	result.ArrivalsBySecond = t.Arrivals()
-	asks, ups := float64(t.Asks.Load()), float64(t.Ups.Load())
-	f["asks"], f["ups"], f["busy"], f["failed"] = asks, ups, float64(t.Busy.Load()), float64(t.Failed.Load())
-	f["nothing"], f["refused"], f["retries"] = float64(t.Nothing.Load()), float64(t.Refused.Load()), float64(t.Retries.Load())
-	f["given-up"], f["moves"], f["breaks"] = float64(t.GivenUp.Load()), float64(t.Moves.Load()), float64(t.Breaks.Load())
-	f["moves-share"], f["messages"] = f["moves"]/max(1, ups), float64(t.Messages.Load())
-	for name, s := range map[string]*load.Series{"set-up": t.SetUp, "answer": t.Answer, "line": t.Line, "late-arrival": t.Late, "late-line": t.LateSend} {
+	result.ArrivalsBySecond = tally.Arrivals()
+	requests, established := float64(tally.Asks.Load()), float64(tally.Ups.Load())
+	figures["asks"], figures["ups"], figures["busy"], figures["failed"] = requests, established, float64(tally.Busy.Load()), float64(tally.Failed.Load())
+	figures["nothing"], figures["refused"], figures["retries"] = float64(tally.Nothing.Load()), float64(tally.Refused.Load()), float64(tally.Retries.Load())
+	figures["given-up"], figures["moves"], figures["breaks"] = float64(tally.GivenUp.Load()), float64(tally.Moves.Load()), float64(tally.Breaks.Load())
+	figures["moves-share"], figures["messages"] = figures["moves"]/max(1, established), float64(tally.Messages.Load())
+	for name, s := range map[string]*load.Series{"set-up": tally.SetUp, "answer": tally.Answer, "line": tally.Line, "late-arrival": tally.Late, "late-line": tally.LateSend} {
 		for _, q := range []string{"50", "90", "99", "99.9", "100"} {
 			var x float64
 			_, _ = fmt.Sscan(q, &x)
-			f[name+"-p"+q] = float64(s.At(x/100)) / 1000
+			figures[name+"-p"+q] = float64(s.At(x/100)) / 1000
 		}
 	}
 	for _, q := range quantiles {
-		result.SetUpQuantiles = append(result.SetUpQuantiles, Quantile{q, float64(t.SetUp.At(q)) / 1000})
-		result.LineQuantiles = append(result.LineQuantiles, Quantile{q, float64(t.Line.At(q)) / 1000})
+		result.SetUpQuantiles = append(result.SetUpQuantiles, Quantile{q, float64(tally.SetUp.At(q)) / 1000})
+		result.LineQuantiles = append(result.LineQuantiles, Quantile{q, float64(tally.Line.At(q)) / 1000})
 	}
-	f["answers-over-limit"] = float64(t.Answer.Over(ledger.Second))
-	f["breaches"], f["tipped"] = float64(len(breaches)), float64(r.fleet.Tipped())
+	figures["answers-over-limit"] = float64(tally.Answer.Over(ledger.Second))
+	figures["breaches"], figures["tipped"] = float64(len(breaches)), float64(r.fleet.Tipped())
 	for _, rule := range ledger.Rules {
-		f["breach."+string(rule)] = 0
+		figures["breach."+string(rule)] = 0
 	}
 	for _, b := range breaches {
-		f["breach."+string(b.Rule)]++
+		figures["breach."+string(b.Rule)]++
 		if len(result.Breaches) < maxReportedBreaches {
 			result.Breaches = append(result.Breaches, b.String())
 		}
 	}
-	f["sends-after-drain"] = f["breach."+string(ledger.DrainKept)]
-	for _, i := range r.proxies {
-		i.mu.Lock()
-		f["crashes"] += float64(i.crashes)
-		f["late-ends"] += float64(i.uncleanExits)
-		f["calls-failed"] += float64(i.syscalls.failures())
-		result.Crashes = append(result.Crashes, i.crashReports...)
-		i.mu.Unlock()
-		_, rss := i.usage()
-		f["proxy-mb"] = max(f["proxy-mb"], float64(rss)/(1<<20))
+	figures["sends-after-drain"] = figures["breach."+string(ledger.DrainKept)]
+	for _, proxy := range r.proxies {
+		proxy.mu.Lock()
+		figures["crashes"] += float64(proxy.crashes)
+		figures["late-ends"] += float64(proxy.uncleanExits)
+		figures["calls-failed"] += float64(proxy.syscalls.failures())
+		result.Crashes = append(result.Crashes, proxy.crashReports...)
+		proxy.mu.Unlock()
+		_, rss := proxy.usage()
+		figures["proxy-mb"] = max(figures["proxy-mb"], float64(rss)/(1<<20))
 	}
 	if r.agents != nil {
-		r.agents.fillFigures(f)
+		r.agents.fillFigures(figures)
 	}
-	f["standing-max"], f["carried-lost"] = float64(standing), float64(lost)
-	maps.DeleteFunc(f, func(_ string, x float64) bool { return math.IsNaN(x) }) // a share of nothing was not seen
+	figures["standing-max"], figures["carried-lost"] = float64(maxEstablished), float64(lost)
+	maps.DeleteFunc(figures, func(_ string, x float64) bool { return math.IsNaN(x) }) // a share of nothing is no figure
 }
 
-// maxReportedBreaches are told with their evidence; all are counted.
+// maxReportedBreaches limits the breaches that a result lists with their evidence; all are counted.
 const maxReportedBreaches = 50
 
-// recoverySeconds is how many seconds after a second it takes until 9 tenths are served for 3 s running.
+// recoverySeconds returns how many seconds after from the first 3 consecutive seconds begin in each of which at least 0.9 was
+// served or nothing was wanted; -1 if there are none.
 func recoverySeconds(served []float64, from int) float64 {
 	for i := from; i+3 <= len(served); i++ {
 		good := true
@@ -640,20 +657,21 @@
 	return -1
 }
 
-// checkExpectations holds the figures beside what the file expects.
+// checkExpectations lists as shortfalls all broken rules, failed restarts and crashes, and the figures that miss the bounds of
+// the file. A baseline has no expectations.
 func (r *run) checkExpectations(result *Result) {
 	result.Shortfalls = []string{}
 	if result.Placement != PlacementProxies {
-		return // a baseline owes nothing
+		return
 	}
 	if result.Figures["breaches"] > 0 {
-		result.Shortfalls = append(result.Shortfalls, fmt.Sprintf("%g broken rules", result.Figures["breaches"]))
+		result.Shortfalls = append(result.Shortfalls, fmt.Sprintf("%g breaches of protocol rules", result.Figures["breaches"]))
 	}
 	if result.Figures["agents-broken"] > 0 {
-		result.Shortfalls = append(result.Shortfalls, fmt.Sprintf("%g promises of agents and instances broken", result.Figures["agents-broken"]))
+		result.Shortfalls = append(result.Shortfalls, fmt.Sprintf("%g breaches of the rules of agents and instances", result.Figures["agents-broken"]))
 	}
 	if result.Figures["late-ends"] > 0 {
-		result.Shortfalls = append(result.Shortfalls, fmt.Sprintf("%g planned restarts did not end in good order", result.Figures["late-ends"]))
+		result.Shortfalls = append(result.Shortfalls, fmt.Sprintf("%g planned restarts in which a proxy was killed or exited with an error", result.Figures["late-ends"]))
 	}
 	if result.Figures["crashes"] > 0 {
 		result.Shortfalls = append(result.Shortfalls, fmt.Sprintf("%g proxies crashed", result.Figures["crashes"]))
@@ -664,17 +682,17 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		l, _ := parseBound(r.Expect[name]) // it was checked when the file was read
-		x, known := result.Figures[name]
-		if !known {
-			result.Shortfalls = append(result.Shortfalls, fmt.Sprintf("%s: %s was not seen, wanted %s", r.positions.At("expect."+name), name, r.Expect[name]))
-		} else if !l.isMetBy(x) {
-			result.Shortfalls = append(result.Shortfalls, fmt.Sprintf("%s: %s is %.4g, wanted %s", r.positions.At("expect."+name), name, x, r.Expect[name]))
+		bound, _ := parseBound(r.Expect[name]) // validated when the file was read
+		value, measured := result.Figures[name]
+		if !measured {
+			result.Shortfalls = append(result.Shortfalls, fmt.Sprintf("%s: %s was not measured, wanted %s", r.positions.At("expect."+name), name, r.Expect[name]))
+		} else if !bound.isMetBy(value) {
+			result.Shortfalls = append(result.Shortfalls, fmt.Sprintf("%s: %s is %.4g, wanted %s", r.positions.At("expect."+name), name, value, r.Expect[name]))
 		}
 	}
 }
 
-// WriteTrace writes the arrivals of a run down, so that it can be played again.
+// WriteTrace writes the arrivals of a run with a seed in the form that load.trace reads.
 func (f *File) WriteTrace(w io.Writer, seed uint64) error {
 	return load.WriteTrace(w, f.arrivals(f.Length.micros(), seed), f.products())
 }
