--- a/lab/experiment/agents.go
+++ b/lab/experiment/agents.go
@@ -23,83 +23,83 @@
 	"hatchproxy/logic"
 )
 
-// agents are the agents of a run, which start and keep its proxies, each on a machine of its own.
+// agents are the agents of a run, each on a simulated machine of its own, which start and supervise its proxies.
 type agents struct {
 	*chaos.Machines
 	*chaos.Recorder
 	instances    []*instance
-	stopWatching context.CancelFunc
+	stopWatching context.CancelFunc // ends the readiness checks of the proxies
 	watchers     sync.WaitGroup
-	faultsDone   chan struct{} // a word for each fault that is over
-	breaches     int           // breaches by what was agreed on and heard
-	record       chaos.Record
+	faultsDone   chan struct{} // receives a value for each fault that is over
+	breaches     int           // of the rules of agents and instances
+	record       chaos.Record  // what was seen of the agents; set by checkAgents
 
-	mu             sync.Mutex
-	orderLatency   *load.Series
-	unheardOrders  int
-	leftAfterDrain int
-	failedRestarts int
-	hasRolled      bool
+	mu             sync.Mutex   // guards the fields below; orderLatency has its own lock
+	orderLatency   *load.Series // from the issue of an order until an instance received it
+	unheardOrders  int          // summed over instances
+	leftAfterDrain int          // most connections left at a server that was ordered to drain
+	failedRestarts int          // rolling restarts
+	hasRolled      bool         // a conducted rolling restart was played
 }
 
-// managedPID is the process that the instance's agent has written down; 0 if there is none.
+// managedPID returns the id of the process that the instance's agent has recorded; 0 if there is none.
 func (i *instance) managedPID() int {
 	text, err := os.ReadFile(i.processFile)
 	if err != nil {
 		return 0
 	}
-	var p struct{ PID int }
-	if json.Unmarshal(text, &p) != nil {
+	var process struct{ PID int }
+	if json.Unmarshal(text, &process) != nil {
 		return 0
 	}
-	return p.PID
+	return process.PID
 }
 
-// startAgents lays the machines out, starts the agents and waits until all proxies are ready.
+// startAgents sets up the machines and their links, starts the agents and waits until all proxies are ready.
 func (r *run) startAgents(ctx context.Context) error {
 	a := &agents{instances: r.proxies, orderLatency: load.NewSeries(), faultsDone: make(chan struct{}, len(r.steps)*r.Control.Agents)}
-	c := r.Control
-	keeps := make([][]agent.InstanceConfig, c.Agents)
-	on := make([][]*instance, c.Agents)
-	for _, i := range r.proxies {
-		m := i.number % c.Agents
-		i.processFile = filepath.Join(r.Dir, fmt.Sprintf("d%d", m), fmt.Sprintf("n%d.process", i.number))
-		on[m] = append(on[m], i)
-		keeps[m] = append(keeps[m], agent.InstanceConfig{Name: fmt.Sprintf("n%d", i.number), Command: []string{i.binary, "serve", "--config", i.configPath()},
-			ControlAddress: "unix:" + filepath.Join(r.Dir, fmt.Sprintf("n%d.sock", i.number))})
-	}
-	struck := func(m int, what chaos.Strike) {
-		for _, i := range on[m] {
-			r.recordProxyEvent([...]ledger.Kind{ledger.ProxyKilled, ledger.ProxyStopped, ledger.ProxyWoken}[what], i.number)
+	control := r.Control
+	configs := make([][]agent.InstanceConfig, control.Agents)
+	onMachine := make([][]*instance, control.Agents)
+	for _, proxy := range r.proxies {
+		machine := proxy.number % control.Agents
+		proxy.processFile = filepath.Join(r.Dir, fmt.Sprintf("d%d", machine), fmt.Sprintf("n%d.process", proxy.number))
+		onMachine[machine] = append(onMachine[machine], proxy)
+		configs[machine] = append(configs[machine], agent.InstanceConfig{Name: fmt.Sprintf("n%d", proxy.number), Command: []string{proxy.binary, "serve", "--config", proxy.configPath()},
+			ControlAddress: "unix:" + filepath.Join(r.Dir, fmt.Sprintf("n%d.sock", proxy.number))})
+	}
+	recordStrike := func(machine int, strike chaos.Strike) {
+		for _, proxy := range onMachine[machine] {
+			r.recordProxyEvent([...]ledger.Kind{ledger.ProxyKilled, ledger.ProxyStopped, ledger.ProxyWoken}[strike], proxy.number)
 		}
 	}
-	severed := func(m, zone int, cut bool) {
+	recordCut := func(machine, zone int, cut bool) {
 		kind := ledger.WayBack
 		if cut {
 			kind = ledger.WayCut
 		}
-		for _, i := range on[m] {
-			r.eventLog.Write(ledger.Event{Kind: kind, Proxy: i.number, Server: ledger.None, Product: ledger.None, Value: int64(zone)})
+		for _, proxy := range onMachine[machine] {
+			r.eventLog.Write(ledger.Event{Kind: kind, Proxy: proxy.number, Server: ledger.None, Product: ledger.None, Value: int64(zone)})
 		}
 	}
 	var err error
-	a.Machines, err = chaos.Raise([]string{r.AgentBinary, "serve", "--log-level", "info"}, r.Dir, chaos.Layout{Agents: c.Agents, Hear: c.Agents - c.voterCount(), Sites: c.siteCount(),
-		Seed: int64(r.Seed), Clocks: c.Clocks, Duties: c.Duties, Instances: func(m int) []agent.InstanceConfig { return keeps[m] }, Struck: struck, Severed: severed})
+	a.Machines, err = chaos.Raise([]string{r.AgentBinary, "serve", "--log-level", "info"}, r.Dir, chaos.Layout{Agents: control.Agents, Hear: control.Agents - control.voterCount(), Sites: control.siteCount(),
+		Seed: int64(r.Seed), Clocks: control.Clocks, Duties: control.Duties, Instances: func(machine int) []agent.InstanceConfig { return configs[machine] }, Struck: recordStrike, Severed: recordCut})
 	if err != nil {
 		return err
 	}
 	r.agents = a
-	if c.siteCount() > 1 {
-		// Each machine has a way of its own to each server, so that it can be cut off from some.
-		for _, i := range r.proxies {
-			if err := i.discovery.Through(func(server int, endpoint string) (string, error) {
-				return a.Way(i.number%c.Agents, server%len(r.File.Fleet.Zones), endpoint)
+	if control.siteCount() > 1 {
+		// Each machine has its own link to each server, so that it can be cut off from some of them.
+		for _, proxy := range r.proxies {
+			if err := proxy.discovery.Through(func(server int, endpoint string) (string, error) {
+				return a.Way(proxy.number%control.Agents, server%len(r.File.Fleet.Zones), endpoint)
 			}); err != nil {
 				return err
 			}
 		}
 	}
-	for n := range c.Agents {
+	for n := range control.Agents {
 		if err := a.Start(n); err != nil {
 			return err
 		}
@@ -108,34 +108,35 @@
 		return fmt.Errorf("%w:\n%s", err, lastLines(a.Log(0), 10))
 	}
 	ctx, a.stopWatching = context.WithCancel(ctx)
-	for _, i := range r.proxies {
-		a.watchers.Go(func() { i.watchReadiness(ctx) })
+	for _, proxy := range r.proxies {
+		a.watchers.Go(func() { proxy.watchReadiness(ctx) })
 	}
-	for until := time.Now().Add(readyTimeout * 2); ; time.Sleep(20 * time.Millisecond) {
-		if slices.IndexFunc(r.proxies, func(i *instance) bool { return !i.isReady() }) < 0 {
+	for deadline := time.Now().Add(readyTimeout * 2); ; time.Sleep(20 * time.Millisecond) {
+		if slices.IndexFunc(r.proxies, func(proxy *instance) bool { return !proxy.isReady() }) < 0 {
 			break
 		}
-		if time.Now().After(until) {
-			return fmt.Errorf("the agents have not brought all proxies up:\n%s", lastLines(a.Log(0), 10))
+		if time.Now().After(deadline) {
+			return fmt.Errorf("the agents did not get all proxies ready in time:\n%s", lastLines(a.Log(0), 10))
 		}
 	}
 	a.Recorder = a.Machines.Record(context.Background())
 	return nil
 }
 
+// isReady reports whether clients are sent to the proxy.
 func (i *instance) isReady() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.ready
 }
 
-// watchReadiness does for a proxy that is kept by an agent what the platform's front does: it asks whether it is ready, and
-// sends nobody to one that is not.
+// watchReadiness checks every 100 ms whether a proxy under an agent is ready, as the platform's front end does, so that clients
+// are only sent to ready ones. It returns when ctx ends.
 func (i *instance) watchReadiness(ctx context.Context) {
 	for ctx.Err() == nil {
-		open := answersPing(i.address)
+		ready := answersPing(i.address)
 		i.mu.Lock()
-		i.ready = open
+		i.ready = ready
 		i.mu.Unlock()
 		select {
 		case <-time.After(100 * time.Millisecond):
@@ -144,7 +145,7 @@
 	}
 }
 
-// stop ends the machines.
+// stop ends the readiness checks, the agents and their instances.
 func (a *agents) stop() {
 	if a.stopWatching != nil {
 		a.stopWatching()
@@ -153,19 +154,20 @@
 	a.Close()
 }
 
-// submitCommand has a command agreed on; it is said again, under the same id, until it is.
-func (a *agents) submitCommand(ctx context.Context, c clusterstate.Command) (number uint64, err error) {
-	n := 0
-	for until := time.Now().Add(20 * time.Second); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(30 * time.Millisecond) {
-		if number, err = a.Say(ctx, n%a.Size(), c, 2*time.Second); err == nil {
+// submitCommand submits a command to the agents, one after the other and under the same id, until one reports it committed; it
+// gives up after 20 s. It returns the command's number.
+func (a *agents) submitCommand(ctx context.Context, command clusterstate.Command) (number uint64, err error) {
+	attempt := 0
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(30 * time.Millisecond) {
+		if number, err = a.Say(ctx, attempt%a.Size(), command, 2*time.Second); err == nil {
 			return number, nil
 		}
-		n++
+		attempt++
 	}
 	return 0, err
 }
 
-// instanceViews is what each agent tells of those that it keeps; of one that does not answer nothing.
+// instanceViews returns what the agents report of their instances. Agents that do not answer within a second are left out.
 func (a *agents) instanceViews(ctx context.Context) (all []agent.InstanceView) {
 	var mu sync.Mutex
 	var asking sync.WaitGroup
@@ -173,11 +175,11 @@
 		asking.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, time.Second)
 			defer cancel()
-			_ = a.Ask(ctx, n, func(ctx context.Context, c *agent.Client) error {
-				v, err := c.View(ctx)
+			_ = a.Ask(ctx, n, func(ctx context.Context, client *agent.Client) error {
+				view, err := client.View(ctx)
 				mu.Lock()
 				defer mu.Unlock()
-				all = append(all, v.Instances...)
+				all = append(all, view.Instances...)
 				return err
 			})
 		})
@@ -186,58 +188,59 @@
 	return all
 }
 
-// applyToAgents does a step with the agents. What takes time goes on beside the script.
-func (r *run) applyToAgents(ctx context.Context, s fleet.Step, ends bool) {
-	kind, fault := machineFault(s.Kind)
+// applyToAgents begins or ends a step that concerns agents or machines. What takes time goes on in the background.
+func (r *run) applyToAgents(ctx context.Context, step fleet.Step, ends bool) {
+	kind, isMachineFault := machineFault(step.Kind)
 	switch {
-	case fault && !ends:
-		for _, n := range s.Servers {
-			f := chaos.Fault{Kind: kind, For: s.For.Span(), On: n}
+	case isMachineFault && !ends:
+		for _, n := range step.Servers {
+			fault := chaos.Fault{Kind: kind, For: step.For.Span(), On: n}
 			r.background.Go(func() {
-				r.recordError(r.agents.Suffer(ctx, f))
+				r.recordError(r.agents.Suffer(ctx, fault))
 				r.agents.faultsDone <- struct{}{}
 			})
 			if kind == chaos.SiteDark {
-				r.background.Go(func() { r.stopSiteServers(ctx, n, s.For.Span()) })
+				r.background.Go(func() { r.stopSiteServers(ctx, n, step.For.Span()) })
 			}
 		}
-	case s.Kind == "order-drain":
-		for _, n := range s.Servers {
-			r.background.Go(func() { r.runDrainOrder(ctx, s, n, ends) })
+	case step.Kind == "order-drain":
+		for _, n := range step.Servers {
+			r.background.Go(func() { r.runDrainOrder(ctx, step, n, ends) })
 		}
-	case s.Kind == "roll" && !ends:
-		r.background.Go(func() { r.conductedRoll(ctx, s) })
-	case s.Kind == "rolling-restart" && !ends:
-		r.background.Go(func() { r.rollingRestart(ctx, s) })
+	case step.Kind == "roll" && !ends:
+		r.background.Go(func() { r.conductedRoll(ctx, step) })
+	case step.Kind == "rolling-restart" && !ends:
+		r.background.Go(func() { r.rollingRestart(ctx, step) })
 	}
 }
 
-// machineFault is the fault between machines that a trouble is: "fault-" and its kind.
+// machineFault returns the kind of machine fault that a kind of trouble names as "fault-" and its kind, and whether it names one.
 func machineFault(kind string) (chaos.Kind, bool) {
-	word, fault := strings.CutPrefix(kind, "fault-")
-	return chaos.Kind(word), fault
+	name, isMachineFault := strings.CutPrefix(kind, "fault-")
+	return chaos.Kind(name), isMachineFault
 }
 
-// stopSiteServers has the servers of a site stop with its machines, and start cold when those are back.
-func (r *run) stopSiteServers(ctx context.Context, site int, lasts time.Duration) {
-	t := fleet.Step{Trouble: fleet.Trouble{Kind: "restart", For: ledger.Of(lasts)}}
+// stopSiteServers stops the servers of a site that lost all its machines, and starts them again, cold, when the time is over.
+func (r *run) stopSiteServers(ctx context.Context, site int, duration time.Duration) {
+	step := fleet.Step{Trouble: fleet.Trouble{Kind: "restart", For: ledger.Of(duration)}}
 	for n := range r.fleet.Servers {
 		if n%len(r.File.Fleet.Zones) == site {
-			t.Servers = append(t.Servers, n)
+			step.Servers = append(step.Servers, n)
 		}
 	}
-	r.recordError(r.fleet.Begin(t))
+	r.recordError(r.fleet.Begin(step))
 	select {
-	case <-time.After(lasts):
+	case <-time.After(duration):
 	case <-ctx.Done():
 	}
-	r.recordError(r.fleet.End(t))
+	r.recordError(r.fleet.End(step))
 }
 
-// awaitSettled waits, once the last fault is over, until agents and instances go by one new command.
+// awaitSettled waits for the end of all faults of machines, and then until all agents have, and all instances act on, a new
+// command. The record keeps how long that took.
 func (r *run) awaitSettled(ctx context.Context) {
 	for _, s := range r.steps {
-		if _, fault := machineFault(s.Kind); !fault || s.At >= r.length {
+		if _, isMachineFault := machineFault(s.Kind); !isMachineFault || s.At >= r.length {
 			continue
 		}
 		for range s.Servers {
@@ -251,7 +254,8 @@
 	r.agents.Settle(ctx, "s-nobody")
 }
 
-// checkAgents has the record judged.
+// checkAgents ends the recording and checks it against the rules of agents and instances. If any is broken, it writes the record
+// to agents.txt in the run's directory.
 func (r *run) checkAgents(ctx context.Context) {
 	a := r.agents
 	a.record = a.End(ctx)
@@ -260,7 +264,7 @@
 		r.logf("%9.3f %s: %s", b.At.Seconds(), b.Kind, b.What)
 	}
 	for _, f := range a.record.Fell {
-		r.logf("the last words of a%d, which ended by itself:\n%s", f.Agent, lastLines(a.Log(f.Agent), 12))
+		r.logf("end of the log of agent a%d, which exited unexpectedly:\n%s", f.Agent, lastLines(a.Log(f.Agent), 12))
 	}
 	if a.breaches > 0 {
 		path := filepath.Join(r.Dir, "agents.txt")
@@ -268,51 +272,52 @@
 	}
 }
 
-// orderTimeout is how long instances have to hear an order before it counts as unheard.
+// orderTimeout is how long instances have to receive an order before it counts as not received.
 const orderTimeout = 10 * time.Second
 
-// runDrainOrder gives one and follows it until all instances have heard it.
-func (r *run) runDrainOrder(ctx context.Context, s fleet.Step, server int, ends bool) {
-	verb, state := clusterstate.Drain, int64(1)
+// runDrainOrder orders a server drained, or the order undone if the step ends, and records when each instance received it. After
+// an order to drain it also counts the connections that are left at the server.
+func (r *run) runDrainOrder(ctx context.Context, step fleet.Step, server int, ends bool) {
+	action, state := clusterstate.Drain, int64(1)
 	if ends {
-		verb, state = clusterstate.Undrain, 0
+		action, state = clusterstate.Undrain, 0
 	}
 	uid := r.fleet.Servers[server].UID
-	said := logic.Micros(time.Now().UnixMicro())
-	number, err := r.agents.submitCommand(ctx, clusterstate.Command{ID: fmt.Sprintf("%s-%d-%d-%d", verb, s.Order, server, r.Seed), Verb: verb, Server: uid, IssuedAt: said})
+	issuedAt := logic.Micros(time.Now().UnixMicro())
+	number, err := r.agents.submitCommand(ctx, clusterstate.Command{ID: fmt.Sprintf("%s-%d-%d-%d", action, step.Order, server, r.Seed), Verb: action, Server: uid, IssuedAt: issuedAt})
 	if err != nil {
 		r.agents.mu.Lock()
 		r.agents.unheardOrders += len(r.proxies)
 		r.agents.mu.Unlock()
 		return
 	}
-	noted := map[string]bool{}
-	begin := logic.Micros(r.eventLog.Time(0).UnixMicro())
-	for until := time.Now().Add(orderTimeout); len(noted) < len(r.proxies) && time.Now().Before(until) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-		for _, i := range r.agents.instanceViews(ctx) {
-			h := i.OrderResults[uid]
-			if noted[i.Name] || h.Number < number {
+	received := map[string]bool{}
+	logStart := logic.Micros(r.eventLog.Time(0).UnixMicro())
+	for deadline := time.Now().Add(orderTimeout); len(received) < len(r.proxies) && time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
+		for _, view := range r.agents.instanceViews(ctx) {
+			order := view.OrderResults[uid]
+			if received[view.Name] || order.Number < number {
 				continue
 			}
-			noted[i.Name] = true
+			received[view.Name] = true
 			proxy := ledger.None
-			_, _ = fmt.Sscanf(i.Name, "n%d", &proxy)
-			if h.Number == number {
-				r.eventLog.Write(ledger.Event{At: max(1, ledger.Micros(h.ReceivedAt-begin)), Kind: ledger.Told, Proxy: proxy, Server: server, Product: ledger.None,
+			_, _ = fmt.Sscanf(view.Name, "n%d", &proxy)
+			if order.Number == number {
+				r.eventLog.Write(ledger.Event{At: max(1, ledger.Micros(order.ReceivedAt-logStart)), Kind: ledger.Told, Proxy: proxy, Server: server, Product: ledger.None,
 					Value: state, Note: ledger.ByOrder})
-				r.agents.orderLatency.Add(ledger.Micros(h.ReceivedAt - said))
+				r.agents.orderLatency.Add(ledger.Micros(order.ReceivedAt - issuedAt))
 			}
 		}
 	}
 	r.agents.mu.Lock()
-	r.agents.unheardOrders += len(r.proxies) - len(noted)
+	r.agents.unheardOrders += len(r.proxies) - len(received)
 	r.agents.mu.Unlock()
 	if ends || ctx.Err() != nil {
 		return
 	}
-	wait := min(8*ledger.Second, s.For-200*ledger.Millisecond)
+	wait := min(8*ledger.Second, step.For-200*ledger.Millisecond)
 	select {
-	case <-time.After(wait.Span() - time.Since(time.UnixMicro(int64(said)))):
+	case <-time.After(wait.Span() - time.Since(time.UnixMicro(int64(issuedAt)))):
 	case <-ctx.Done():
 		return
 	}
@@ -322,17 +327,17 @@
 	r.agents.mu.Unlock()
 }
 
-// rollingRestart starts all proxies anew, a share at a time, each waited for.
-func (r *run) rollingRestart(ctx context.Context, s fleet.Step) {
+// rollingRestart restarts all proxies, a share at a time, and waits for each share to be ready again.
+func (r *run) rollingRestart(ctx context.Context, step fleet.Step) {
 	var names []string
-	for _, i := range r.proxies {
-		names = append(names, fmt.Sprintf("n%d", i.number))
+	for _, proxy := range r.proxies {
+		names = append(names, fmt.Sprintf("n%d", proxy.number))
 	}
-	share := cmp.Or(s.Size, 0.2)
-	for some := range slices.Chunk(names, max(1, int(share*float64(len(names))+1e-9))) {
-		number, err := r.agents.submitCommand(ctx, clusterstate.Command{ID: fmt.Sprintf("restart-%d-%s-%d", s.Order, some[0], r.Seed), Verb: clusterstate.Restart, Instances: some})
+	share := cmp.Or(step.Size, 0.2)
+	for batch := range slices.Chunk(names, max(1, int(share*float64(len(names))+1e-9))) {
+		number, err := r.agents.submitCommand(ctx, clusterstate.Command{ID: fmt.Sprintf("restart-%d-%s-%d", step.Order, batch[0], r.Seed), Verb: clusterstate.Restart, Instances: batch})
 		if err == nil {
-			err = r.awaitRestart(ctx, some, number)
+			err = r.awaitRestart(ctx, batch, number)
 		}
 		if err != nil {
 			r.logf("rolling restart: %v", err)
@@ -342,33 +347,34 @@
 			return
 		}
 	}
-	r.logf("all %d are ready again", len(names))
+	r.logf("rolling restart: all %d proxies are ready again", len(names))
 }
 
-// conductedRoll has all proxies started anew by whoever holds that duty, and watches.
-func (r *run) conductedRoll(ctx context.Context, s fleet.Step) {
+// conductedRoll has all proxies restarted by the agent that holds the conductor's duty, and waits until it reports the rolling
+// restart done.
+func (r *run) conductedRoll(ctx context.Context, step fleet.Step) {
 	var names []string
-	for _, i := range r.proxies {
-		names = append(names, fmt.Sprintf("n%d", i.number))
+	for _, proxy := range r.proxies {
+		names = append(names, fmt.Sprintf("n%d", proxy.number))
 	}
-	id := fmt.Sprintf("roll-%d-%d", s.Order, r.Seed)
-	_, err := r.agents.submitCommand(ctx, clusterstate.Command{ID: id, Verb: clusterstate.Roll, Instances: names, Share: cmp.Or(s.Size, 0.2)})
-	began := time.Now()
+	id := fmt.Sprintf("roll-%d-%d", step.Order, r.Seed)
+	_, err := r.agents.submitCommand(ctx, clusterstate.Command{ID: id, Verb: clusterstate.Roll, Instances: names, Share: cmp.Or(step.Size, 0.2)})
+	startedAt := time.Now()
 	for err == nil {
-		if time.Since(began) > s.For.Span() {
-			err = errors.New("it is not done in time")
+		if time.Since(startedAt) > step.For.Span() {
+			err = errors.New("not done in time")
 		}
 		time.Sleep(50 * time.Millisecond)
 		done := false
-		_ = r.agents.Ask(ctx, int(time.Since(began)/time.Second)%r.agents.Size(), func(ctx context.Context, c *agent.Client) error {
-			v, err := c.View(ctx)
-			for _, x := range v.RollingRestarts {
-				done = done || x.ID == id && x.State == clusterstate.Done
+		_ = r.agents.Ask(ctx, int(time.Since(startedAt)/time.Second)%r.agents.Size(), func(ctx context.Context, client *agent.Client) error {
+			view, err := client.View(ctx)
+			for _, roll := range view.RollingRestarts {
+				done = done || roll.ID == id && roll.State == clusterstate.Done
 			}
 			return err
 		})
 		if done {
-			r.logf("all %d are ready again after %v", len(names), time.Since(began).Round(10*time.Millisecond))
+			r.logf("roll: all %d proxies are ready again after %v", len(names), time.Since(startedAt).Round(10*time.Millisecond))
 			break
 		}
 	}
@@ -381,63 +387,66 @@
 	}
 }
 
+// awaitRestart waits until the named instances were restarted by the command with a number, or a later one, and are ready; up to
+// 30 s.
 func (r *run) awaitRestart(ctx context.Context, names []string, number uint64) error {
-	for until := time.Now().Add(30 * time.Second); time.Now().Before(until); time.Sleep(30 * time.Millisecond) {
+	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(30 * time.Millisecond) {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		good := 0
-		for _, i := range r.agents.instanceViews(ctx) {
-			if slices.Contains(names, i.Name) && i.CompletedRestart >= number && i.State == supervisor.Ready {
-				good++
+		ready := 0
+		for _, view := range r.agents.instanceViews(ctx) {
+			if slices.Contains(names, view.Name) && view.CompletedRestart >= number && view.State == supervisor.Ready {
+				ready++
 			}
 		}
-		if good == len(names) {
+		if ready == len(names) {
 			return nil
 		}
 	}
-	return fmt.Errorf("%v are not ready again", names)
+	return fmt.Errorf("%v are not ready again after 30 s", names)
 }
 
-// fillFigures sets the figures of the orders.
-func (a *agents) fillFigures(f map[string]float64) {
+// fillFigures sets the figures of orders, restarts and agents.
+func (a *agents) fillFigures(figures map[string]float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, q := range []string{"50", "90", "99", "99.9", "100"} {
 		var x float64
 		_, _ = fmt.Sscan(q, &x)
-		f["order-p"+q] = float64(a.orderLatency.At(x/100)) / 1000
+		figures["order-p"+q] = float64(a.orderLatency.At(x/100)) / 1000
 	}
-	f["orders-unheard"], f["drained-left"], f["restarts-failed"] = float64(a.unheardOrders), float64(a.leftAfterDrain), float64(a.failedRestarts)
+	figures["orders-unheard"], figures["drained-left"], figures["restarts-failed"] = float64(a.unheardOrders), float64(a.leftAfterDrain), float64(a.failedRestarts)
 	if a.hasRolled {
-		f["not-once"] = float64(a.notRestartedOnce())
-		f["unheld-ms"] = 0
+		figures["not-once"] = float64(a.notRestartedOnce())
+		figures["unheld-ms"] = 0
 		if gaps := a.record.Unheld(agent.Conductor); len(gaps) > 0 {
-			f["unheld-ms"] = float64(gaps[len(gaps)-1].Milliseconds())
+			figures["unheld-ms"] = float64(gaps[len(gaps)-1].Milliseconds())
 		}
 	}
-	f["agents-broken"], f["settled-s"], f["told-s"] = float64(a.breaches), -1, -1
+	figures["agents-broken"], figures["settled-s"], figures["told-s"] = float64(a.breaches), -1, -1
 	if a.record.Settled > 0 {
-		f["settled-s"] = a.record.Settled.Seconds()
+		figures["settled-s"] = a.record.Settled.Seconds()
 	}
 	if a.record.Told > 0 {
-		f["told-s"] = a.record.Told.Seconds()
+		figures["told-s"] = a.record.Told.Seconds()
 	}
 }
 
-// notRestartedOnce is how many instances were not started anew exactly once.
-func (a *agents) notRestartedOnce() (wrong int) {
+// notRestartedOnce returns the number of instances that did not run as exactly two processes, that is, were not restarted exactly
+// once.
+func (a *agents) notRestartedOnce() (count int) {
 	processes := map[string]map[int64]bool{}
-	for _, h := range a.record.Held {
-		if processes[h.Instance] == nil {
-			processes[h.Instance] = map[int64]bool{}
+	for _, seen := range a.record.Held {
+		if processes[seen.Instance] == nil {
+			processes[seen.Instance] = map[int64]bool{}
 		}
-		processes[h.Instance][h.Process] = true
+		processes[seen.Instance][seen.Process] = true
 	}
-	for _, i := range a.instances {
-		if len(processes[fmt.Sprintf("n%d", i.number)]) != 2 {
-			wrong++
+	for _, proxy := range a.instances {
+		if len(processes[fmt.Sprintf("n%d", proxy.number)]) != 2 {
+			count++
 		}
 	}
-	return wrong
+	return count
 }
--- a/lab/experiment/compare.go
+++ b/lab/experiment/compare.go
@@ -8,46 +8,48 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Difference is what a figure of the second build is above the first's, over pairs of runs on the same seeds.
+// Difference compares a figure of two builds over pairs of runs on the same seeds.
 type Difference struct {
 	Figure string  `json:"figure"`
-	First  float64 `json:"first"` // the means
-	Second float64 `json:"second"`
-	Mean   float64 `json:"difference"`
-	// Low and High bound the difference with 95% confidence, by Student's t over the pairs; with one pair they are
-	// infinite.
+	First  float64 `json:"first"`      // mean of the first build
+	Second float64 `json:"second"`     // mean of the second build
+	Mean   float64 `json:"difference"` // mean of second minus first
+	// Low and High are the bounds of the difference's 95% confidence interval, by Student's t distribution over the pairs.
+	// With one pair they are the smallest and the largest number.
 	Low  float64 `json:"low"`
 	High float64 `json:"high"`
 }
 
-// IsSignificant tells whether the interval leaves 0 out.
+// IsSignificant reports whether the confidence interval excludes 0.
 func (d Difference) IsSignificant() bool { return d.Low > 0 || d.High < 0 }
 
+// confidenceLevel is that of a Difference's interval.
 const confidenceLevel = 0.95
 
-// Compare takes the differences of figures over pairs of results.
+// Compare returns the differences of the named figures over pairs of results: first[i] and second[i] are runs on the same seed.
+// Pairs in which a figure is not a number are left out, and so are figures without any pair.
 func Compare(first, second []*Result, figures []string) []Difference {
-	var found []Difference
+	var result []Difference
 	for _, name := range figures {
-		var a, b, d []float64
+		var firstValues, secondValues, differences []float64
 		for i := range first {
 			x, y := first[i].Figures[name], second[i].Figures[name]
 			if math.IsNaN(x) || math.IsNaN(y) {
 				continue
 			}
-			a, b, d = append(a, x), append(b, y), append(d, y-x)
+			firstValues, secondValues, differences = append(firstValues, x), append(secondValues, y), append(differences, y-x)
 		}
-		if len(d) == 0 {
+		if len(differences) == 0 {
 			continue
 		}
-		f := Difference{Figure: name, First: stat.Mean(a, nil), Second: stat.Mean(b, nil)}
-		f.Mean, f.Low, f.High = confidenceInterval(d)
-		found = append(found, f)
+		difference := Difference{Figure: name, First: stat.Mean(firstValues, nil), Second: stat.Mean(secondValues, nil)}
+		difference.Mean, difference.Low, difference.High = confidenceInterval(differences)
+		result = append(result, difference)
 	}
-	return found
+	return result
 }
 
-// confidenceInterval is the mean of a sample and the bounds on what it estimates.
+// confidenceInterval returns a sample's mean and the bounds of the confidence interval of the mean that it estimates.
 func confidenceInterval(sample []float64) (mean, low, high float64) {
 	mean = stat.Mean(sample, nil)
 	if len(sample) < 2 {
@@ -59,11 +61,11 @@
 	return mean, mean - half, mean + half
 }
 
-// ComparedFigures are the figures that a comparison tells.
+// ComparedFigures are the figures that `hatchlab compare` shows.
 var ComparedFigures = []string{"served", "served-worst-10s", "served-after", "set-up-p50", "set-up-p99", "line-p50", "line-p99", "busy",
 	"moves-share", "breaches", "tipped", "proxy-cpu", "proxy-mb"}
 
-// Median is the middle of a sample; 0 of none.
+// Median returns the median of a sample; 0 for an empty one.
 func Median(sample []float64) float64 {
 	if len(sample) == 0 {
 		return 0
--- a/lab/experiment/cost.go
+++ b/lab/experiment/cost.go
@@ -17,44 +17,45 @@
 	"hatchproxy/lab/ledger"
 )
 
-// PathCost is what a program between clients and servers takes with so many connections standing.
+// PathCost is what a program between clients and servers, a proxy or a bare relay, costs with a number of established connections.
 type PathCost struct {
-	SetUpMicros          float64 `json:"set_up_us"` // medians
-	LineMicros           float64 `json:"line_us"`
+	SetUpMicros          float64 `json:"set_up_us"` // median
+	LineMicros           float64 `json:"line_us"`   // median round trip of a line
 	CPUMicrosPerLine     float64 `json:"cpu_us_a_line"`
 	MemoryKBPerConn      float64 `json:"memory_kb_a_connection"`
-	IdleCPUMicrosPerConn float64 `json:"cpu_us_a_second_and_connection"` // while the connections stand and say nothing
+	IdleCPUMicrosPerConn float64 `json:"cpu_us_a_second_and_connection"` // CPU time per second and idle connection
 }
 
-// Cost is what a proxy's path takes beside a bare relay's, in turn, in as many pairs.
+// Cost compares what a proxy costs with what a bare relay costs, over pairs of measurements: Relay[i] and Proxy[i] are a pair.
 type Cost struct {
-	Connections int        `json:"standing"`
-	Build       string     `json:"build"`
+	Connections int        `json:"standing"` // established while a path was measured
+	Build       string     `json:"build"`    // file name of the proxy's binary
 	Relay       []PathCost `json:"relay"`
 	Proxy       []PathCost `json:"proxy"`
 }
 
-// MedianRatio is a proxy's figure over the relay's: the median of the pairs.
-func (c Cost) MedianRatio(of func(PathCost) float64) float64 {
+// MedianRatio returns the median, over the pairs, of the proxy's figure divided by the relay's. Pairs whose relay figure is not
+// above 0 are left out.
+func (c Cost) MedianRatio(figure func(PathCost) float64) float64 {
 	var ratios []float64
 	for i := range c.Proxy {
-		if r := of(c.Relay[i]); r > 0 {
-			ratios = append(ratios, of(c.Proxy[i])/r)
+		if r := figure(c.Relay[i]); r > 0 {
+			ratios = append(ratios, figure(c.Proxy[i])/r)
 		}
 	}
 	return Median(ratios)
 }
 
-// Medians is a figure's median over the pairs.
-func (c Cost) Medians(of func(PathCost) float64) (relay, proxy float64) {
-	var r, p []float64
+// Medians returns the median of a figure of the relay and of the proxy.
+func (c Cost) Medians(figure func(PathCost) float64) (relay, proxy float64) {
+	var relays, proxies []float64
 	for i := range c.Proxy {
-		r, p = append(r, of(c.Relay[i])), append(p, of(c.Proxy[i]))
+		relays, proxies = append(relays, figure(c.Relay[i])), append(proxies, figure(c.Proxy[i]))
 	}
-	return Median(r), Median(p)
+	return Median(relays), Median(proxies)
 }
 
-// CostFigures are the figures of a path, each with its name.
+// CostFigures are the figures of a PathCost, each with its name and unit.
 var CostFigures = []struct {
 	Name string
 	Of   func(PathCost) float64
@@ -64,29 +65,29 @@
 	{"CPU us a second and idle connection", func(p PathCost) float64 { return p.IdleCPUMicrosPerConn }},
 }
 
-// Summary tells it in a line.
+// Summary returns a line with proxy, relay and ratio of each figure.
 func (c Cost) Summary() string {
 	var parts []string
-	for _, part := range CostFigures {
-		r, p := c.Medians(part.Of)
-		parts = append(parts, fmt.Sprintf("%s %.3g/%.3g=%.2f", part.Name, p, r, c.MedianRatio(part.Of)))
+	for _, figure := range CostFigures {
+		relay, proxy := c.Medians(figure.Of)
+		parts = append(parts, fmt.Sprintf("%s %.3g/%.3g=%.2f", figure.Name, proxy, relay, c.MedianRatio(figure.Of)))
 	}
 	return strings.Join(parts, ", ")
 }
 
 const (
-	// setUpSamples and askLines are how many are taken for a median, one after the other.
+	// setUpSamples and lineSamples are the numbers of set-ups and lines that a median is taken of; they run one after the other.
 	setUpSamples = 300
 	lineSamples  = 2000
-	// floodTime is how long lines are sent over all connections for the CPU's figure.
+	// floodTime is how long lines are sent over all connections to measure the CPU time of a line.
 	floodTime = 2 * time.Second
-	// idleTime is how long nothing is sent.
+	// idleTime is how long nothing is sent, to measure the CPU time of idle connections.
 	idleTime = 2 * time.Second
-	// reservedDescriptors are those that no connection holds.
+	// reservedDescriptors is the number of descriptors that CheckDescriptorLimit leaves to other uses than connections.
 	reservedDescriptors = 400
 )
 
-// costExperiment is the experiment that costs are taken on: servers of unbounded capacity that answer at once.
+// costExperiment is the experiment that costs are measured on: servers of unlimited capacity that answer at once.
 const costExperiment = `name = "cost"
 length = "60s"
 [proxies]
@@ -118,82 +119,86 @@
 rate = 1.0
 `
 
-// MeasureCost measures a build beside a bare relay, in turn. relay starts a bare relay at an address before servers.
-func MeasureCost(ctx context.Context, binary string, relay func(listen, servers string) *exec.Cmd, standing, pairs int, folder string,
-	tell func(string, ...any)) (*Cost, error) {
-	c := &Cost{Connections: standing, Build: filepath.Base(binary)}
+// MeasureCost measures a proxy's binary and a bare relay in turn, in a number of pairs, each with the given number of established
+// connections. relay returns the command of a relay that listens on an address and connects to a comma-separated list of
+// servers; dir takes the proxy's files; logf, which may be nil, reports progress.
+func MeasureCost(ctx context.Context, binary string, relay func(listen, servers string) *exec.Cmd, connections, pairs int, dir string,
+	logf func(string, ...any)) (*Cost, error) {
+	cost := &Cost{Connections: connections, Build: filepath.Base(binary)}
 	for i := range pairs {
 		for turn := range 2 {
-			with := ""
+			measured := ""
 			if (turn+i)%2 == 0 {
-				with = binary
+				measured = binary
 			}
-			p, err := measurePath(ctx, with, relay, standing, folder)
+			path, err := measurePath(ctx, measured, relay, connections, dir)
 			if err != nil {
 				return nil, err
 			}
 			name := "relay"
-			if with == "" {
-				c.Relay = append(c.Relay, *p)
+			if measured == "" {
+				cost.Relay = append(cost.Relay, *path)
 			} else {
-				c.Proxy = append(c.Proxy, *p)
-				name = c.Build
+				cost.Proxy = append(cost.Proxy, *path)
+				name = cost.Build
 			}
-			if tell != nil {
-				tell("%d standing, pair %d, %s: set-up %.0f us, line %.0f us, CPU a line %.1f us, memory %.1f KB, idle %.1f us", standing, i+1, name,
-					p.SetUpMicros, p.LineMicros, p.CPUMicrosPerLine, p.MemoryKBPerConn, p.IdleCPUMicrosPerConn)
+			if logf != nil {
+				logf("%d connections, pair %d, %s: set-up %.0f us, line %.0f us, CPU per line %.1f us, memory %.1f KB, idle %.1f us", connections, i+1, name,
+					path.SetUpMicros, path.LineMicros, path.CPUMicrosPerLine, path.MemoryKBPerConn, path.IdleCPUMicrosPerConn)
 			}
 		}
 	}
-	return c, nil
+	return cost, nil
 }
 
-// CheckDescriptorLimit tells whether so many connections fit the descriptors that a process may have.
-func CheckDescriptorLimit(standing int) error {
+// CheckDescriptorLimit returns an error if a number of connections needs more file descriptors than a process may have, at two
+// for each connection.
+func CheckDescriptorLimit(connections int) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	if most := (int(limit.Cur) - reservedDescriptors) / 2; standing > most {
-		return fmt.Errorf("%d connections need %d descriptors in a process, and %d are allowed: %d are the most", standing, 2*standing+reservedDescriptors, limit.Cur, most)
+	if maxConnections := (int(limit.Cur) - reservedDescriptors) / 2; connections > maxConnections {
+		return fmt.Errorf("%d connections need %d file descriptors in a process, but the limit is %d: at most %d connections are possible", connections, 2*connections+reservedDescriptors, limit.Cur, maxConnections)
 	}
 	return nil
 }
 
-func measurePath(ctx context.Context, binary string, relay func(listen, servers string) *exec.Cmd, standing int, folder string) (*PathCost, error) {
-	if err := CheckDescriptorLimit(standing); err != nil {
+// measurePath starts a proxy, or a relay if binary is empty, before a fleet of its own, and measures it.
+func measurePath(ctx context.Context, binary string, relay func(listen, servers string) *exec.Cmd, connections int, dir string) (*PathCost, error) {
+	if err := CheckDescriptorLimit(connections); err != nil {
 		return nil, err
 	}
-	f, err := Parse("cost", []byte(costExperiment))
+	file, err := Parse("cost", []byte(costExperiment))
 	if err != nil {
 		return nil, err
 	}
-	book := ledger.Open()
-	servers, err := fleet.Start(book, f.Plan(), 1)
+	eventLog := ledger.Open()
+	servers, err := fleet.Start(eventLog, file.Plan(), 1)
 	if err != nil {
 		return nil, err
 	}
 	defer servers.Stop()
-	address, held, err := reserveAddress(0)
+	address, reservation, err := reserveAddress(0)
 	if err != nil {
 		return nil, err
 	}
-	defer held.Close()
+	defer reservation.Close()
 	pid := 0
 	if binary != "" {
-		front, err := servers.Front(0, 0)
+		discovery, err := servers.Front(0, 0)
 		if err != nil {
 			return nil, err
 		}
-		i := &instance{address: address, dir: folder, binary: binary, discovery: front, seed: 1}
-		if err := i.writeConfig(f); err != nil {
+		proxy := &instance{address: address, dir: dir, binary: binary, discovery: discovery, seed: 1}
+		if err := proxy.writeConfig(file); err != nil {
 			return nil, err
 		}
-		if err := i.start(); err != nil {
+		if err := proxy.start(); err != nil {
 			return nil, err
 		}
-		defer i.terminate(syscall.SIGKILL)
-		pid = i.cmd.Process.Pid
+		defer proxy.terminate(syscall.SIGKILL)
+		pid = proxy.cmd.Process.Pid
 	} else {
 		cmd := relay(address, strings.Join(servers.Addresses(0), ","))
 		cmd.Stderr = os.Stderr
@@ -209,14 +214,15 @@
 			return nil, err
 		}
 	}
-	return measureProcess(ctx, address, pid, standing)
+	return measureProcess(ctx, address, pid, connections)
 }
 
+// awaitListener waits until something listens on an address, up to 5 s for refused connections.
 func awaitListener(ctx context.Context, address string) error {
 	for range 500 {
-		c, err := net.DialTimeout("tcp", address, time.Second)
+		conn, err := net.DialTimeout("tcp", address, time.Second)
 		if err == nil {
-			return c.Close()
+			return conn.Close()
 		}
 		select {
 		case <-time.After(10 * time.Millisecond):
@@ -224,16 +230,17 @@
 			return ctx.Err()
 		}
 	}
-	return errors.New("the relay does not listen")
+	return errors.New("the relay does not listen on its address")
 }
 
-// testClient is a client of few needs.
+// testClient is a minimal client: one established connection.
 type testClient struct {
 	net.Conn
 	reader       *lineReader
 	messagesSent int64
 }
 
+// lineReader reads lines without their line ends.
 type lineReader struct{ *bufio.Reader }
 
 func (r lineReader) readLine() (string, error) {
@@ -241,124 +248,128 @@
 	return strings.TrimRight(text, "\r\n"), err
 }
 
+// clientCount numbers the clients of this process; each uses its number as id and key.
 var clientCount uint64
 
-// dialTestClient sets a connection up.
+// dialTestClient connects and waits until the connection is established: until UP. Each of the two may take 5 s.
 func dialTestClient(address string) (*testClient, error) {
-	c, err := net.DialTimeout("tcp", address, 5*time.Second)
+	conn, err := net.DialTimeout("tcp", address, 5*time.Second)
 	if err != nil {
 		return nil, err
 	}
 	clientCount++
-	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
-	if _, err := fmt.Fprintf(c, "OPEN %016x %016x c=chat,d=5000\r\n", clientCount, clientCount); err != nil {
-		_ = c.Close()
+	_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
+	if _, err := fmt.Fprintf(conn, "OPEN %016x %016x c=chat,d=5000\r\n", clientCount, clientCount); err != nil {
+		_ = conn.Close()
 		return nil, err
 	}
-	k := &testClient{c, &lineReader{bufio.NewReaderSize(c, 256)}, 0}
-	if word, err := k.reader.readLine(); err != nil || !strings.HasPrefix(word, "UP ") {
-		_ = c.Close()
-		return nil, fmt.Errorf("no UP but %q, %w", word, err)
+	client := &testClient{conn, &lineReader{bufio.NewReaderSize(conn, 256)}, 0}
+	if line, err := client.reader.readLine(); err != nil || !strings.HasPrefix(line, "UP ") {
+		_ = conn.Close()
+		return nil, fmt.Errorf("expected UP, got %q: %w", line, err)
 	}
-	_ = c.SetDeadline(time.Time{})
-	return k, nil
+	_ = conn.SetDeadline(time.Time{})
+	return client, nil
 }
 
-func (k *testClient) send(at ledger.Micros) error {
-	k.messagesSent++
-	_, err := k.Write([]byte(fleet.Seal("M", k.messagesSent, int64(at))))
+// send sends the client's next message, stamped with a time.
+func (client *testClient) send(at ledger.Micros) error {
+	client.messagesSent++
+	_, err := client.Write([]byte(fleet.Seal("M", client.messagesSent, int64(at))))
 	return err
 }
 
-func measureProcess(ctx context.Context, address string, pid, standing int) (*PathCost, error) {
-	_, before, err := ProcessUsage(pid)
+// measureProcess measures the process that listens on an address, with a number of established connections.
+func measureProcess(ctx context.Context, address string, pid, connections int) (*PathCost, error) {
+	_, memoryBefore, err := ProcessUsage(pid)
 	if err != nil {
 		return nil, err
 	}
-	stand := make([]*testClient, 0, standing)
+	clients := make([]*testClient, 0, connections)
 	defer func() {
-		for _, k := range stand {
-			_ = k.Close()
+		for _, client := range clients {
+			_ = client.Close()
 		}
 	}()
-	for range standing {
-		k, err := dialTestClient(address)
+	for range connections {
+		client, err := dialTestClient(address)
 		if err != nil {
-			return nil, fmt.Errorf("after %d connections: %w", len(stand), err)
+			return nil, fmt.Errorf("after %d established connections: %w", len(clients), err)
 		}
-		stand = append(stand, k)
+		clients = append(clients, client)
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 	}
-	p := &PathCost{}
-	cpu, after, err := ProcessUsage(pid)
+	cost := &PathCost{}
+	cpuBefore, memoryAfter, err := ProcessUsage(pid)
 	if err != nil {
 		return nil, err
 	}
-	p.MemoryKBPerConn = float64(after-before) / 1024 / float64(standing)
+	cost.MemoryKBPerConn = float64(memoryAfter-memoryBefore) / 1024 / float64(connections)
 	time.Sleep(idleTime)
-	rested, _, err := ProcessUsage(pid)
+	cpuAfter, _, err := ProcessUsage(pid)
 	if err != nil {
 		return nil, err
 	}
-	p.IdleCPUMicrosPerConn = float64((rested - cpu).Microseconds()) / idleTime.Seconds() / float64(standing)
+	cost.IdleCPUMicrosPerConn = float64((cpuAfter - cpuBefore).Microseconds()) / idleTime.Seconds() / float64(connections)
 
-	var took []float64
+	var samples []float64
 	for range setUpSamples {
-		began := time.Now()
-		k, err := dialTestClient(address)
+		startedAt := time.Now()
+		client, err := dialTestClient(address)
 		if err != nil {
 			return nil, err
 		}
-		took = append(took, float64(time.Since(began).Microseconds()))
-		_ = k.Close()
+		samples = append(samples, float64(time.Since(startedAt).Microseconds()))
+		_ = client.Close()
 	}
-	p.SetUpMicros = Median(took)
-	took = took[:0]
+	cost.SetUpMicros = Median(samples)
+	samples = samples[:0]
 	for i := range lineSamples {
-		k := stand[i%len(stand)]
-		began := time.Now()
-		if err := k.send(0); err != nil {
+		client := clients[i%len(clients)]
+		startedAt := time.Now()
+		if err := client.send(0); err != nil {
 			return nil, err
 		}
-		if _, err := k.reader.readLine(); err != nil {
+		if _, err := client.reader.readLine(); err != nil {
 			return nil, err
 		}
-		took = append(took, float64(time.Since(began).Nanoseconds())/1000)
+		samples = append(samples, float64(time.Since(startedAt).Nanoseconds())/1000)
 	}
-	p.LineMicros = Median(took)
-	if p.CPUMicrosPerLine, err = cpuMicrosPerLine(pid, stand); err != nil {
+	cost.LineMicros = Median(samples)
+	if cost.CPUMicrosPerLine, err = cpuMicrosPerLine(pid, clients); err != nil {
 		return nil, err
 	}
-	return p, nil
+	return cost, nil
 }
 
-// cpuMicrosPerLine has all connections carry lines for a while, a batch of them out at a time, and tells the CPU for each.
-func cpuMicrosPerLine(pid int, stand []*testClient) (float64, error) {
+// cpuMicrosPerLine sends lines over all connections for floodTime, a batch of them at a time, and returns the CPU time that the
+// process took for each line, in microseconds.
+func cpuMicrosPerLine(pid int, clients []*testClient) (float64, error) {
 	const batch = 64
-	before, _, err := ProcessUsage(pid)
+	cpuBefore, _, err := ProcessUsage(pid)
 	if err != nil {
 		return 0, err
 	}
 	lines := 0
-	for began := time.Now(); time.Since(began) < floodTime; {
-		some := make([]*testClient, 0, batch)
-		for i := range min(batch, len(stand)) {
-			some = append(some, stand[(lines+i)%len(stand)])
+	for startedAt := time.Now(); time.Since(startedAt) < floodTime; {
+		sending := make([]*testClient, 0, batch)
+		for i := range min(batch, len(clients)) {
+			sending = append(sending, clients[(lines+i)%len(clients)])
 		}
-		for _, k := range some {
-			if err := k.send(0); err != nil {
+		for _, client := range sending {
+			if err := client.send(0); err != nil {
 				return 0, err
 			}
 		}
-		for _, k := range some {
-			if _, err := k.reader.readLine(); err != nil {
+		for _, client := range sending {
+			if _, err := client.reader.readLine(); err != nil {
 				return 0, err
 			}
 		}
-		lines += len(some)
+		lines += len(sending)
 	}
-	after, _, err := ProcessUsage(pid)
-	return float64((after - before).Microseconds()) / float64(lines), err
+	cpuAfter, _, err := ProcessUsage(pid)
+	return float64((cpuAfter - cpuBefore).Microseconds()) / float64(lines), err
 }
--- a/lab/experiment/links.go
+++ b/lab/experiment/links.go
@@ -10,25 +10,26 @@
 	"hatchproxy/lab/links"
 )
 
-// proxyLinks are relays between each proxy and each server, where the script has trouble on them.
+// proxyLinks relay the connections between proxies and servers, so that a script can cut or reset them.
 type proxyLinks struct {
 	net       *links.Net
-	cutCounts map[[2]int]int // by proxy and zone: how many troubles cut the way just now
+	cutCounts map[[2]int]int // by proxy and zone: number of troubles that cut the link now
 }
 
+// proxyName and zoneName name the ends of a link.
 func proxyName(n int) string { return fmt.Sprintf("proxy %d", n) }
 func zoneName(z int) string  { return fmt.Sprintf("zone %d", z) }
 
-// startLinks has each proxy reach its servers through relays of its own, where the script needs them.
+// startLinks makes each proxy reach its servers through relays of its own, if the script has troubles on links.
 func (r *run) startLinks() error {
 	if !slices.ContainsFunc(r.steps, func(s fleet.Step) bool { return strings.HasPrefix(s.Kind, "way-") }) {
 		return nil
 	}
 	r.links = &proxyLinks{net: links.New(int64(r.Seed)), cutCounts: map[[2]int]int{}}
 	zones := len(r.File.Fleet.Zones)
-	for _, i := range r.proxies {
-		err := i.discovery.Through(func(server int, endpoint string) (string, error) {
-			return r.links.net.Way(proxyName(i.number), zoneName(server%zones), endpoint)
+	for _, proxy := range r.proxies {
+		err := proxy.discovery.Through(func(server int, endpoint string) (string, error) {
+			return r.links.net.Way(proxyName(proxy.number), zoneName(server%zones), endpoint)
 		})
 		if err != nil {
 			return err
@@ -37,36 +38,38 @@
 	return nil
 }
 
-// applyTrouble has a proxy's ways to a zone begin or end a trouble.
-func (w *proxyLinks) applyTrouble(r *run, s fleet.Step, proxy int, ends bool) {
-	zone := int(s.Size) % len(r.File.Fleet.Zones)
-	if s.Kind == "way-reset" {
+// applyTrouble begins or ends a trouble on a proxy's links to a zone, and records when the zone is cut off and reachable again.
+// Troubles may overlap: the link is cut as long as one of them lasts.
+func (l *proxyLinks) applyTrouble(r *run, step fleet.Step, proxy int, ends bool) {
+	zone := int(step.Size) % len(r.File.Fleet.Zones)
+	if step.Kind == "way-reset" {
 		if !ends {
 			r.recordLinkEvent(ledger.WayCut, proxy, zone)
-			w.net.Reset(proxyName(proxy), zoneName(zone))
+			l.net.Reset(proxyName(proxy), zoneName(zone))
 			r.recordLinkEvent(ledger.WayBack, proxy, zone)
 		}
 		return
 	}
-	at := [2]int{proxy, zone}
-	was := w.cutCounts[at] > 0
+	link := [2]int{proxy, zone}
+	wasCut := l.cutCounts[link] > 0
 	if ends {
-		w.cutCounts[at]--
+		l.cutCounts[link]--
 	} else {
-		w.cutCounts[at]++
+		l.cutCounts[link]++
 	}
-	cut := w.cutCounts[at] > 0
-	if cut == was {
+	isCut := l.cutCounts[link] > 0
+	if isCut == wasCut {
 		return
 	}
 	kind := ledger.WayBack
-	if cut {
+	if isCut {
 		kind = ledger.WayCut
 	}
-	w.net.Both(proxyName(proxy), zoneName(zone), links.Trouble{Cut: cut})
+	l.net.Both(proxyName(proxy), zoneName(zone), links.Trouble{Cut: isCut})
 	r.recordLinkEvent(kind, proxy, zone)
 }
 
+// recordLinkEvent writes a cut, or its end, between a proxy and a zone into the event log.
 func (r *run) recordLinkEvent(kind ledger.Kind, proxy, zone int) {
 	r.eventLog.Write(ledger.Event{Kind: kind, Proxy: proxy, Server: ledger.None, Product: ledger.None, Value: int64(zone)})
 }
--- a/lab/experiment/proxies.go
+++ b/lab/experiment/proxies.go
@@ -20,7 +20,7 @@
 	"hatchproxy/lab/ledger"
 )
 
-// instance is a proxy that runs, or did.
+// instance is a proxy of a run, over all the processes that it is started as.
 type instance struct {
 	number      int
 	zone        int
@@ -28,62 +28,62 @@
 	dir         string
 	binary      string
 	discovery   *fleet.Front
-	reservation io.Closer // its address
+	reservation io.Closer // of its address
 	seed        uint64
 
-	syscalls syscallFaults // what fails in its processes
+	syscalls syscallFaults // faults of system calls in its processes
 
-	processFile string // where its agent writes down which process it is; "" where the rig starts it itself
+	processFile string // where its agent records which process it is; "" if this package starts it
 
 	mu           sync.Mutex
 	cmd          *exec.Cmd
-	exited       chan struct{} // closed when the process has
-	shouldRun    bool          // it is to run: an end is a crash
-	ready        bool          // clients are sent there
+	exited       chan struct{} // closed when the process has exited
+	shouldRun    bool          // while true, an exit is a crash
+	ready        bool          // clients are sent to it
 	crashes      int
-	crashReports []string      // what is known of each
-	uncleanExits int           // planned ends that were not in good order, or in time
-	earlierCPU   time.Duration // of the processes before the present one
-	maxRSS       int64         // the most that was seen, in bytes
+	crashReports []string      // each with the end of the log
+	uncleanExits int           // planned exits with an error, or that needed SIGKILL
+	earlierCPU   time.Duration // of the processes before the current one
+	maxRSS       int64         // largest resident memory seen, in bytes
 }
 
-// proxyConfig is the file that a proxy is told its start by, in the platform's form.
-func (f *File) proxyConfig(i *instance) ([]byte, error) {
+// proxyConfig returns the configuration file of a proxy, in the platform's format (JSON).
+func (f *File) proxyConfig(proxy *instance) ([]byte, error) {
 	type table = map[string]any
 	var products []table
 	var messages []float64
 	ms := func(s Duration) float64 { return float64(s.Micros) / 1000 }
-	words := map[ledger.Repeat]string{ledger.Harmless: "repeatable", ledger.Stamped: "by_key", ledger.OneShot: "once"}
-	reach := map[ledger.Reach]string{ledger.ReachAll: "all", ledger.ReachZone: "zone", ledger.ReachCell: "cell"}
-	loads := f.products()
-	for n, p := range f.Product {
-		products = append(products, table{"name": p.Name, "idempotency": words[idempotencyByName[p.Repeat]], "gain": loads[n].Gain,
-			"group": reach[dedupScopeByName[p.Reach]], "window-ms": ms(p.Window), "quoted-time-ms": ms(p.Quoted), "hard-limit-ms": ms(p.Limit)})
-		messages = append(messages, float64(loads[n].Message)/1000)
+	idempotencies := map[ledger.Repeat]string{ledger.Harmless: "repeatable", ledger.Stamped: "by_key", ledger.OneShot: "once"}
+	dedupScopes := map[ledger.Reach]string{ledger.ReachAll: "all", ledger.ReachZone: "zone", ledger.ReachCell: "cell"}
+	loadProducts := f.products()
+	for index, p := range f.Product {
+		products = append(products, table{"name": p.Name, "idempotency": idempotencies[idempotencyByName[p.Repeat]], "gain": loadProducts[index].Gain,
+			"group": dedupScopes[dedupScopeByName[p.Reach]], "window-ms": ms(p.Window), "quoted-time-ms": ms(p.Quoted), "hard-limit-ms": ms(p.Limit)})
+		messages = append(messages, float64(loadProducts[index].Message)/1000)
 	}
 	kinds := []string{}
-	for _, k := range f.Fleet.Kind {
-		kinds = append(kinds, k.Name)
+	for _, kind := range f.Fleet.Kind {
+		kinds = append(kinds, kind.Name)
 	}
-	x := f.Fleet
+	section := f.Fleet
 	return json.MarshalIndent(table{
-		"name": fmt.Sprintf("n%d", i.number), "listen": i.address, "discovery": i.discovery.Address(),
-		"seed":   fmt.Sprintf("%016x", i.seed),
+		"name": fmt.Sprintf("n%d", proxy.number), "listen": proxy.address, "discovery": proxy.discovery.Address(),
+		"seed":   fmt.Sprintf("%016x", proxy.seed),
 		"limits": table{"cores": 1.0, "memory_mb": f.Proxies.MemoryMB, "sockets": f.Proxies.Sockets},
 		"known":  table{"rev": 0, "all": true, "targets": []int{}},
 		"settings": table{
-			"my-number": i.number, "group-size": f.Proxies.Count, "zone": i.zone, "localities": x.Zones, "models": kinds,
-			"weight-kind": x.Weights, "membership-mode": "subscribe", "products": products,
+			"my-number": proxy.number, "group-size": f.Proxies.Count, "zone": proxy.zone, "localities": section.Zones, "models": kinds,
+			"weight-kind": section.Weights, "membership-mode": "subscribe", "products": products,
 			"family-info": table{"mode": "proxy", "message-aim-ms": messages},
-			"limits":      table{"max-dispatches": f.Proxies.Dispatches, "dial-timeout-ms": 250.0, "probes": x.Probes},
-			"invariants": table{"ask-within-ms": 10000.0, "start-capacity": x.Cold.From, "cold-ms": ms(x.Cold.Warm),
-				"fall-multiple": x.Cold.Multiple, "fall-ms": ms(x.Cold.Window), "stop-sending-within-ms": ms(f.Proxies.Grace)},
+			"limits":      table{"max-dispatches": f.Proxies.Dispatches, "dial-timeout-ms": 250.0, "probes": section.Probes},
+			"invariants": table{"ask-within-ms": 10000.0, "start-capacity": section.Cold.From, "cold-ms": ms(section.Cold.Warm),
+				"fall-multiple": section.Cold.Multiple, "fall-ms": ms(section.Cold.Window), "stop-sending-within-ms": ms(f.Proxies.Grace)},
 			"prices": table{"cross-zone": 0.2, "moves": 0.013},
 		},
 	}, "", "  ")
 }
 
-// writeConfig lays the configuration down, whole or not at all.
+// writeConfig replaces the proxy's configuration file atomically.
 func (i *instance) writeConfig(f *File) error {
 	text, err := f.proxyConfig(i)
 	if err != nil {
@@ -101,7 +101,8 @@
 }
 func (i *instance) logPath() string { return filepath.Join(i.dir, fmt.Sprintf("n%d.log", i.number)) }
 
-// start starts the process and waits until it answers that it is ready.
+// start starts a process of the proxy and waits until it is ready. It also watches for the process's exit, which counts as a crash
+// unless it was planned.
 func (i *instance) start() error {
 	log, err := os.OpenFile(i.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -113,16 +114,16 @@
 	if err := i.syscalls.start(cmd, i.seed); err != nil {
 		return err
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	i.mu.Lock()
-	i.cmd, i.exited, i.shouldRun = cmd, ended, true
+	i.cmd, i.exited, i.shouldRun = cmd, exited, true
 	i.mu.Unlock()
 	go func() {
 		_ = cmd.Wait()
 		i.mu.Lock()
 		if i.shouldRun {
 			i.crashes++
-			i.crashReports = append(i.crashReports, fmt.Sprintf("proxy %d ended by itself: %s\n%s", i.number, cmd.ProcessState, lastLines(i.logPath(), 12)))
+			i.crashReports = append(i.crashReports, fmt.Sprintf("proxy %d exited unexpectedly: %s\n%s", i.number, cmd.ProcessState, lastLines(i.logPath(), 12)))
 		}
 		i.ready = false
 		i.earlierCPU += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
@@ -131,20 +132,21 @@
 		}
 		i.cmd = nil
 		i.mu.Unlock()
-		close(ended)
+		close(exited)
 	}()
-	return i.awaitReady(ended)
+	return i.awaitReady(exited)
 }
 
-// readyTimeout is far more than a start takes on a machine that has other work beside.
+// readyTimeout limits a proxy's start. It is far above what a start takes even on a busy machine.
 const readyTimeout = 15 * time.Second
 
-func (i *instance) awaitReady(ended <-chan struct{}) error {
+// awaitReady waits until the proxy is ready, and then lets clients be sent to it.
+func (i *instance) awaitReady(exited <-chan struct{}) error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		select {
-		case <-ended:
-			return fmt.Errorf("proxy %d ended at its start:\n%s", i.number, lastLines(i.logPath(), 10))
+		case <-exited:
+			return fmt.Errorf("proxy %d exited while it started:\n%s", i.number, lastLines(i.logPath(), 10))
 		case <-time.After(10 * time.Millisecond):
 		}
 		if answersPing(i.address) {
@@ -158,26 +160,27 @@
 	return fmt.Errorf("proxy %d is not ready after %s:\n%s", i.number, readyTimeout, lastLines(i.logPath(), 10))
 }
 
-// answersPing tells whether a proxy says that it is ready.
+// answersPing reports whether a proxy answers PING with PONG, that is, is ready.
 func answersPing(address string) bool {
-	c, err := net.DialTimeout("tcp", address, time.Second)
+	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return false
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(time.Second))
-	_, _ = c.Write([]byte("PING\r\n"))
-	line, _ := bufio.NewReader(c).ReadString('\n')
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(time.Second))
+	_, _ = conn.Write([]byte("PING\r\n"))
+	line, _ := bufio.NewReader(conn).ReadString('\n')
 	return line == "PONG\r\n"
 }
 
-func lastLines(path string, lines int) string {
+// lastLines returns the last lines of a file; "" if it can't be read.
+func lastLines(path string, count int) string {
 	text, _ := os.ReadFile(path)
 	all := strings.Split(strings.TrimSpace(string(text)), "\n")
-	return strings.Join(all[max(0, len(all)-lines):], "\n")
+	return strings.Join(all[max(0, len(all)-count):], "\n")
 }
 
-// signal sends one; false if no process runs.
+// signal sends a signal to the proxy's process; it returns false if none runs.
 func (i *instance) signal(s syscall.Signal) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -188,24 +191,24 @@
 	return i.cmd != nil && i.cmd.Process.Signal(s) == nil
 }
 
-// terminate ends it with a signal and waits; one that does not go within a while is killed.
-func (i *instance) terminate(s syscall.Signal) {
+// terminate ends the proxy's process by a signal and waits for its exit; after 6 s it sends SIGKILL.
+func (i *instance) terminate(signal syscall.Signal) {
 	i.mu.Lock()
 	i.shouldRun = false
-	ended := i.exited
+	exited := i.exited
 	i.mu.Unlock()
-	if ended == nil || !i.signal(s) {
+	if exited == nil || !i.signal(signal) {
 		return
 	}
 	select {
-	case <-ended:
+	case <-exited:
 	case <-time.After(6 * time.Second):
 		i.signal(syscall.SIGKILL)
-		<-ended
+		<-exited
 	}
 }
 
-// usage is the CPU time and the most memory that its processes took.
+// usage returns the CPU time and the largest resident memory, in bytes, of the proxy's processes.
 func (i *instance) usage() (cpu time.Duration, rss int64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -226,47 +229,47 @@
 	return cpu, rss
 }
 
-// clockTick is the kernel's unit in /proc/PID/stat: 1/100 s on all Linux platforms of Go.
+// clockTick is the unit of CPU times in /proc/PID/stat: 1/100 s on all Linux platforms that Go supports.
 const clockTick = 10 * time.Millisecond
 
-// ProcessUsage reads a process's CPU time and resident memory.
+// ProcessUsage returns a process's CPU time and its resident memory in bytes, from /proc.
 func ProcessUsage(pid int) (cpu time.Duration, rss int64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0, err
 	}
-	at := strings.LastIndexByte(string(text), ')')
-	if at < 0 {
-		return 0, 0, errors.New("no such form")
+	nameEnd := strings.LastIndexByte(string(text), ')')
+	if nameEnd < 0 {
+		return 0, 0, errors.New("/proc/PID/stat has an unexpected format")
 	}
-	words := strings.Fields(string(text[at+1:]))
-	if len(words) < 22 {
-		return 0, 0, errors.New("no such form")
+	fields := strings.Fields(string(text[nameEnd+1:]))
+	if len(fields) < 22 {
+		return 0, 0, errors.New("/proc/PID/stat has an unexpected format")
 	}
-	var n [3]int64
-	for k, i := range []int{11, 12, 21} {
-		if n[k], err = strconv.ParseInt(words[i], 10, 64); err != nil {
+	var values [3]int64
+	for n, index := range []int{11, 12, 21} {
+		if values[n], err = strconv.ParseInt(fields[index], 10, 64); err != nil {
 			return 0, 0, err
 		}
 	}
-	return time.Duration(n[0]+n[1]) * clockTick, n[2] * int64(os.Getpagesize()), nil
+	return time.Duration(values[0]+values[1]) * clockTick, values[2] * int64(os.Getpagesize()), nil
 }
 
-// reserveAddress finds an address of this machine on which nothing listens, and keeps it for this run: proxies listen so
-// that another could take the same one, and another run that begins beside this one would. What holds it is a socket
-// of the same number that no proxy uses.
+// reserveAddress finds a loopback address on which nothing listens, and reserves it until the closer is closed. Without a
+// reservation a run that starts at the same time could choose the same address, because proxies listen in a way that lets a
+// second process listen on it too. The reservation is a UDP socket of the same port, which no proxy uses.
 func reserveAddress(number int) (string, io.Closer, error) {
 	for range 50 {
-		l, err := net.Listen("tcp", fmt.Sprintf("127.1.0.%d:0", 1+number%250))
+		listener, err := net.Listen("tcp", fmt.Sprintf("127.1.0.%d:0", 1+number%250))
 		if err != nil {
 			return "", nil, err
 		}
-		address := l.Addr().String()
-		held, err := net.ListenPacket("udp", address)
-		_ = l.Close()
+		address := listener.Addr().String()
+		reservation, err := net.ListenPacket("udp", address)
+		_ = listener.Close()
 		if err == nil {
-			return address, held, nil
+			return address, reservation, nil
 		}
 	}
-	return "", nil, errors.New("no address is free")
+	return "", nil, errors.New("no free address found")
 }
--- a/lab/experiment/proxyfaults.go
+++ b/lab/experiment/proxyfaults.go
@@ -13,7 +13,7 @@
 	"hatchproxy/lab/sysfault"
 )
 
-// callFaults are the troubles by which a proxy's system calls fail, each with what its size is the chance of.
+// callFaults maps the kinds of trouble in which a proxy's system calls fail to the fault; the trouble's size is its chance.
 var callFaults = map[string]sysfault.Fault{
 	"calls-accept":  {Call: sysfault.Accept},
 	"calls-socket":  {Call: sysfault.Socket},
@@ -26,17 +26,17 @@
 	"calls-write":   {Call: sysfault.Write, Short: true},
 }
 
-// syscallFaults are the faults that hold at an instance, also for the processes that it starts anew.
+// syscallFaults are the system call faults of a proxy. They last over restarts of its process.
 type syscallFaults struct {
-	intercepted     []sysfault.Call // that its processes are filtered for; none: they are not
+	intercepted     []sysfault.Call // calls that its processes are filtered for; without any there is no filter
 	mu              sync.Mutex
-	shim            *sysfault.Shim // of the process that runs
+	shim            *sysfault.Shim // filter of the running process
 	active          map[int]sysfault.Fault
 	endFuncs        map[int]func()
-	earlierFailures int // calls that failed in the processes before
+	earlierFailures int // calls that failed in earlier processes
 }
 
-// start starts a process, under a filter where there is one.
+// start starts a process, under a filter if calls are to be intercepted, and begins the active faults that do not prevent its start.
 func (s *syscallFaults) start(command *exec.Cmd, seed uint64) error {
 	if len(s.intercepted) == 0 {
 		return command.Start()
@@ -49,134 +49,138 @@
 	defer s.mu.Unlock()
 	s.earlierFailures = s.failuresLocked()
 	s.shim, s.endFuncs = shim, map[int]func(){}
-	for order, fault := range s.active {
+	for step, fault := range s.active {
 		if !breaksStartup(fault.Call) {
-			s.endFuncs[order] = shim.Begin(fault)
+			s.endFuncs[step] = shim.Begin(fault)
 		}
 	}
 	return nil
 }
 
-// breaksStartup tells of calls without which the system's loader or the language's runtime does not start a program: they fail
-// once the process serves.
+// breaksStartup reports whether the program loader or the Go runtime can't start a program if a call fails: faults of such calls
+// only begin once the process is ready.
 func breaksStartup(call sysfault.Call) bool {
 	return call == sysfault.Copy || call == sysfault.Control || call == sysfault.Open
 }
 
-// processReady has all faults hold that were kept back while the process started.
+// processReady begins the active faults that were held back while the process started.
 func (s *syscallFaults) processReady() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for order, fault := range s.active {
-		if s.endFuncs[order] == nil && s.shim != nil {
-			s.endFuncs[order] = s.shim.Begin(fault)
+	for step, fault := range s.active {
+		if s.endFuncs[step] == nil && s.shim != nil {
+			s.endFuncs[step] = s.shim.Begin(fault)
 		}
 	}
 }
 
-// begin has a fault hold, by its place in the script.
-func (s *syscallFaults) begin(order int, fault sysfault.Fault) {
+// begin begins the fault of the step with a number in the script.
+func (s *syscallFaults) begin(step int, fault sysfault.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.active == nil {
 		s.active = map[int]sysfault.Fault{}
 	}
-	s.active[order] = fault
+	s.active[step] = fault
 	if s.shim != nil {
-		s.endFuncs[order] = s.shim.Begin(fault)
+		s.endFuncs[step] = s.shim.Begin(fault)
 	}
 }
 
-func (s *syscallFaults) end(order int) {
+// end ends the fault of a step.
+func (s *syscallFaults) end(step int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.active, order)
-	if end := s.endFuncs[order]; end != nil {
-		end()
+	delete(s.active, step)
+	if endFault := s.endFuncs[step]; endFault != nil {
+		endFault()
 	}
 }
 
-// failuresLocked is how many calls failed or were cut short so far. Its lock is held.
+// failuresLocked returns the number of calls that failed or were cut short so far. The caller holds the lock.
 func (s *syscallFaults) failuresLocked() int {
-	sum := s.earlierFailures
+	total := s.earlierFailures
 	if s.shim == nil {
-		return sum
+		return total
 	}
 	for _, byError := range s.shim.Failed() {
 		for _, n := range byError {
-			sum += n
+			total += n
 		}
 	}
-	return sum
+	return total
 }
 
+// failures returns the number of calls that failed or were cut short so far.
 func (s *syscallFaults) failures() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failuresLocked()
 }
 
-// earliestKill is how long after SIGTERM a process is killed at the soonest, beside the longest deadline, which counts for
-// longestDeadline at most. Source: the protocol's page.
+// A proxy that is retired may be killed no sooner after SIGTERM than its longest deadline, of which at most maxCountedDeadline
+// counts, plus killMargin. The protocol sets both.
 const (
 	killMargin         = 700 * time.Millisecond
 	maxCountedDeadline = 3 * time.Second
 )
 
-// retire ends a process as at a planned restart: SIGTERM, further signals in series, and SIGKILL at the earliest. It
-// returns whether the process left by itself, in good order.
-func (i *instance) retire(longest time.Duration, random *rand.Rand) bool {
+// retire ends the proxy's process as a planned restart does: by SIGTERM, with further random signals after it, and SIGKILL at the
+// earliest time that the protocol allows. It reports whether the process exited by itself, without an error. longest is the
+// longest deadline of a request.
+func (i *instance) retire(longest time.Duration, rng *rand.Rand) bool {
 	i.mu.Lock()
 	i.shouldRun = false
-	ended, command := i.exited, i.cmd
+	exited, cmd := i.exited, i.cmd
 	i.mu.Unlock()
-	if ended == nil || command == nil {
+	if exited == nil || cmd == nil {
 		return true
 	}
 	kill := time.After(min(longest, maxCountedDeadline) + killMargin)
 	i.signal(syscall.SIGTERM)
-	series := time.NewTimer(time.Duration(random.Int64N(int64(200 * time.Millisecond))))
+	series := time.NewTimer(time.Duration(rng.Int64N(int64(200 * time.Millisecond))))
 	defer series.Stop()
 	for {
 		select {
-		case <-ended:
-			return command.ProcessState.Success()
+		case <-exited:
+			return cmd.ProcessState.Success()
 		case <-series.C:
-			i.signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[random.IntN(2)])
-			series.Reset(time.Duration(random.Int64N(int64(600 * time.Millisecond))))
+			i.signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[rng.IntN(2)])
+			series.Reset(time.Duration(rng.Int64N(int64(600 * time.Millisecond))))
 		case <-kill:
 			i.signal(syscall.SIGKILL)
-			<-ended
+			<-exited
 			return false
 		}
 	}
 }
 
-// routingDelay is how long clients are still sent to a process that was told to leave.
+// routingDelay is how long clients are still sent to a process that was told to leave, until the platform's front end notices.
 const routingDelay = 300 * time.Millisecond
 
-// openIdleCrowd opens connections that say nothing, or half a line, and holds them until it is ended.
-func openIdleCrowd(address string, size int, random *rand.Rand) (end func()) {
+// openIdleCrowd opens a number of connections that send nothing or less than a request. Each is closed and opened anew after 0.5
+// to 1.5 s, until the returned function is called.
+func openIdleCrowd(address string, size int, rng *rand.Rand) (end func()) {
 	stop := make(chan struct{})
-	words := []string{"", "PING\r\n", "OPEN 1 "}
-	var open sync.WaitGroup
+	texts := []string{"", "PING\r\n", "OPEN 1 "}
+	var clients sync.WaitGroup
 	for range size {
-		word := words[random.IntN(len(words))]
-		open.Go(func() {
+		text := texts[rng.IntN(len(texts))]
+		clients.Go(func() {
 			for {
-				c, err := net.DialTimeout("tcp", address, time.Second)
+				conn, err := net.DialTimeout("tcp", address, time.Second)
 				if err == nil {
-					_, _ = c.Write([]byte(word))
-					_ = c.SetReadDeadline(time.Now().Add(time.Second))
-					_, _ = c.Read(make([]byte, 64))
-					defer c.Close()
+					_, _ = conn.Write([]byte(text))
+					_ = conn.SetReadDeadline(time.Now().Add(time.Second))
+					_, _ = conn.Read(make([]byte, 64))
+					defer conn.Close()
 				}
 				select {
 				case <-stop:
 					return
 				case <-time.After(500 * time.Millisecond):
-					if c != nil {
-						_ = c.Close()
+					if conn != nil {
+						_ = conn.Close()
 					}
 				}
 			}
@@ -184,20 +188,21 @@
 	}
 	return func() {
 		close(stop)
-		open.Wait()
+		clients.Wait()
 	}
 }
 
-// reloadSeries sends SIGHUP several times while the configuration is written: torn, wrong and whole.
-func (i *instance) reloadSeries(f *File, random *rand.Rand) error {
-	for range 3 + random.IntN(4) {
+// reloadSeries sends SIGHUP several times while the configuration file changes between a truncated and a complete one. It ends
+// with a complete one.
+func (i *instance) reloadSeries(f *File, rng *rand.Rand) error {
+	for range 3 + rng.IntN(4) {
 		i.signal(syscall.SIGHUP)
-		time.Sleep(time.Duration(random.Int64N(int64(60 * time.Millisecond))))
-		if err := i.writeTornConfig(f, random); err != nil {
+		time.Sleep(time.Duration(rng.Int64N(int64(60 * time.Millisecond))))
+		if err := i.writeTornConfig(f, rng); err != nil {
 			return err
 		}
 		i.signal(syscall.SIGHUP)
-		time.Sleep(time.Duration(random.Int64N(int64(60 * time.Millisecond))))
+		time.Sleep(time.Duration(rng.Int64N(int64(60 * time.Millisecond))))
 		if err := i.writeConfig(f); err != nil {
 			return err
 		}
@@ -206,24 +211,24 @@
 	return nil
 }
 
-// writeTornConfig leaves a configuration that was written in part.
-func (i *instance) writeTornConfig(f *File, random *rand.Rand) error {
+// writeTornConfig replaces the configuration file by a truncated one.
+func (i *instance) writeTornConfig(f *File, rng *rand.Rand) error {
 	text, err := f.proxyConfig(i)
 	if err != nil {
 		return err
 	}
 	path := i.configPath()
-	if err := os.WriteFile(path+".new", text[:random.IntN(len(text))], 0o600); err != nil {
+	if err := os.WriteFile(path+".new", text[:rng.IntN(len(text))], 0o600); err != nil {
 		return err
 	}
 	return os.Rename(path+".new", path)
 }
 
-// longestLimit is the longest deadline.
+// longestLimit returns the longest hard limit of all products.
 func (f *File) longestLimit() time.Duration {
-	var most ledger.Micros
+	var longest ledger.Micros
 	for _, p := range f.Product {
-		most = max(most, p.Limit.micros())
+		longest = max(longest, p.Limit.micros())
 	}
-	return most.Span()
+	return longest.Span()
 }
