--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -14,6 +14,7 @@
 	"hatchproxy/lab/experiment"
 )
 
+// baseExperiment is a valid experiment of 32 lines that ends in its [load] section, so that tests can append keys and sections.
 const baseExperiment = `name = "small"
 length = "5s"
 [proxies]
@@ -48,8 +49,8 @@
 every = "500ms"
 `
 
-func TestWhatIsWrongWithAFileIsToldWithItsLineAndAllAtOnce(t *testing.T) {
-	for wrong, want := range map[string][]string{
+func TestAllFaultsOfAFileAreReportedWithTheirLines(t *testing.T) {
+	for fault, messages := range map[string][]string{
 		"oddly = 1\n":                                         {"x.toml:33: load.oddly is unknown"},
 		"retries = \"many\"\n":                                {"x.toml:33: "},
 		"rejoin = \"5 parsecs\"\n":                            {`x.toml:33: "5 parsecs" is not a duration such as`},
@@ -69,16 +70,16 @@
 		"[[load.bend]]\nat = \"2s\"\nrate = 1.0\n[[load.bend]]\nat = \"1s\"\nrate = 1.0": {"x.toml:37: load.bend[1].at: is earlier than"},
 		"load = 5 = 6": {"x.toml:33: "},
 	} {
-		_, err := experiment.Parse("x.toml", []byte(baseExperiment+wrong))
-		for _, text := range want {
-			require.ErrorContains(t, err, text, "%s", wrong)
+		_, err := experiment.Parse("x.toml", []byte(baseExperiment+fault))
+		for _, message := range messages {
+			require.ErrorContains(t, err, message, "%s", fault)
 		}
 	}
 	_, err := experiment.Parse("x.toml", nil)
 	require.ErrorContains(t, err, "x.toml: product: is missing")
-	f, err := experiment.Parse("x.toml", []byte(baseExperiment))
+	file, err := experiment.Parse("x.toml", []byte(baseExperiment))
 	require.NoError(t, err)
-	require.Equal(t, "small", f.Name)
+	require.Equal(t, "small", file.Name)
 }
 
 func TestTheExperimentsOfTheRepositoryCanBeRead(t *testing.T) {
@@ -91,34 +92,35 @@
 	}
 }
 
-func resultsServing(served ...float64) []*experiment.Result {
-	var all []*experiment.Result
-	for _, x := range served {
-		all = append(all, &experiment.Result{Figures: map[string]float64{"served": x}})
+// resultsServing returns a result for each value of the figure "served".
+func resultsServing(shares ...float64) []*experiment.Result {
+	var results []*experiment.Result
+	for _, share := range shares {
+		results = append(results, &experiment.Result{Figures: map[string]float64{"served": share}})
 	}
-	return all
+	return results
 }
 
-func TestAComparisonIsSureOnlyOfWhatThePairsBear(t *testing.T) {
-	d := experiment.Compare(resultsServing(0.5, 0.7, 0.9), resultsServing(0.61, 0.80, 0.99), []string{"served"})[0]
-	require.InDelta(t, 0.1, d.Mean, 1e-9)
-	require.InDelta(t, 0.1-4.3027*0.01/1.7321, d.Low, 1e-4, "Student's t of 2 degrees of freedom")
-	require.True(t, d.IsSignificant(), "the seeds differ by more than the builds, and the pairs take that out")
-	d = experiment.Compare(resultsServing(0.5, 0.7), resultsServing(0.7, 0.6), []string{"served"})[0]
-	require.False(t, d.IsSignificant())
-	require.False(t, experiment.Compare(resultsServing(0.5), resultsServing(0.9), []string{"served"})[0].IsSignificant(), "one pair tells nothing")
+func TestADifferenceIsSignificantOnlyIfThePairsShowIt(t *testing.T) {
+	difference := experiment.Compare(resultsServing(0.5, 0.7, 0.9), resultsServing(0.61, 0.80, 0.99), []string{"served"})[0]
+	require.InDelta(t, 0.1, difference.Mean, 1e-9)
+	require.InDelta(t, 0.1-4.3027*0.01/1.7321, difference.Low, 1e-4, "Student's t distribution with 2 degrees of freedom")
+	require.True(t, difference.IsSignificant(), "pairing removes the difference between seeds, which is larger than that between builds")
+	difference = experiment.Compare(resultsServing(0.5, 0.7), resultsServing(0.7, 0.6), []string{"served"})[0]
+	require.False(t, difference.IsSignificant())
+	require.False(t, experiment.Compare(resultsServing(0.5), resultsServing(0.9), []string{"served"})[0].IsSignificant(), "one pair shows nothing")
 }
 
-// buildProxy builds the proxy once.
+// buildProxy builds the proxy once, and returns the path of its binary. TestMain removes it.
 var buildProxy = sync.OnceValues(func() (string, error) {
-	folder, err := os.MkdirTemp("", "hatchlab-test-")
+	dir, err := os.MkdirTemp("", "hatchlab-test-")
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(folder, "hatchproxy")
-	text, err := exec.Command("go", "build", "-o", path, "../../cmd/hatchproxy").CombinedOutput()
+	path := filepath.Join(dir, "hatchproxy")
+	output, err := exec.Command("go", "build", "-o", path, "../../cmd/hatchproxy").CombinedOutput()
 	if err != nil {
-		os.Stderr.Write(text)
+		os.Stderr.Write(output)
 	}
 	return path, err
 })
@@ -131,42 +133,44 @@
 	os.Exit(code)
 }
 
-// runExperiment plays the small experiment with more in it, with real proxies.
+// runExperiment plays baseExperiment with more appended to it, with real proxies, and checks that no rule was broken and that no
+// proxy crashed.
 func runExperiment(t *testing.T, more string) *experiment.Result {
 	t.Helper()
 	t.Parallel()
-	proxy, err := buildProxy()
+	binary, err := buildProxy()
 	require.NoError(t, err)
-	f, err := experiment.Parse("small.toml", []byte(baseExperiment+more))
+	file, err := experiment.Parse("small.toml", []byte(baseExperiment+more))
 	require.NoError(t, err)
-	r, err := f.Run(context.Background(), experiment.RunOptions{Seed: 3, Placement: experiment.PlacementProxies, ProxyBinary: proxy, Dir: t.TempDir()})
+	result, err := file.Run(context.Background(), experiment.RunOptions{Seed: 3, Placement: experiment.PlacementProxies, ProxyBinary: binary, Dir: t.TempDir()})
 	require.NoError(t, err)
-	for _, b := range r.Breaches {
-		t.Error(b)
+	for _, breach := range result.Breaches {
+		t.Error(breach)
 	}
-	require.Zero(t, r.Figures["crashes"])
-	return r
+	require.Zero(t, result.Figures["crashes"])
+	return result
 }
 
-func TestRealProxiesServeACalmDayAndKeepTheRules(t *testing.T) {
-	r := runExperiment(t, "carried = 20\n[expect]\nserved = \">= 0.9\"\nasks = \"<= 10\"\n")
-	require.Greater(t, r.Figures["served"], 0.9)
-	require.Greater(t, r.Figures["ups"], 150.0)
-	require.Zero(t, r.Figures["carried-lost"])
-	require.Len(t, r.Shortfalls, 1, "what does not hold is told, and what holds is not")
-	require.True(t, strings.HasPrefix(r.Shortfalls[0], "small.toml:36: asks is "), r.Shortfalls[0])
+func TestRealProxiesServeTheLoadWithoutBreaches(t *testing.T) {
+	result := runExperiment(t, "carried = 20\n[expect]\nserved = \">= 0.9\"\nasks = \"<= 10\"\n")
+	require.Greater(t, result.Figures["served"], 0.9)
+	require.Greater(t, result.Figures["ups"], 150.0)
+	require.Zero(t, result.Figures["carried-lost"])
+	require.Len(t, result.Shortfalls, 1, "a missed expectation is reported, a met one is not")
+	require.True(t, strings.HasPrefix(result.Shortfalls[0], "small.toml:36: asks is "), result.Shortfalls[0])
 }
 
-// Guards against generators that wait with a proxy that stands still, and against judges that blame it for that.
+// Guards against a load generator that waits for a stopped proxy, and against rule checks that blame a proxy for the time in
+// which it was stopped.
 func TestAProxyThatIsStoppedForTwoSecondsDelaysNoArrival(t *testing.T) {
-	r := runExperiment(t, "[[trouble]]\nkind = \"proxy-stop\"\nat = \"1s\"\nfor = \"2s\"\npart = 1.0\n")
-	require.Less(t, r.Figures["late-arrival-p100"], 200.0)
-	require.Greater(t, r.Figures["answer-p100"], 1900.0, "who came first waited for all of it")
-	require.InDelta(t, 40, r.Figures["answers-over-limit"], 30, "half of those who came in it waited more than a second")
+	result := runExperiment(t, "[[trouble]]\nkind = \"proxy-stop\"\nat = \"1s\"\nfor = \"2s\"\npart = 1.0\n")
+	require.Less(t, result.Figures["late-arrival-p100"], 200.0)
+	require.Greater(t, result.Figures["answer-p100"], 1900.0, "the first clients waited for the whole stop")
+	require.InDelta(t, 40, result.Figures["answers-over-limit"], 30, "half of the clients that arrived during the stop waited for more than a second")
 }
 
-func TestProxiesAreKilledMadeToLeaveAndToldToReadAgainAndTheRulesHold(t *testing.T) {
-	r := runExperiment(t, `
+func TestKilledTerminatedAndReloadedProxiesKeepTheRules(t *testing.T) {
+	result := runExperiment(t, `
 [[trouble]]
 kind = "proxy-kill"
 at = "1s"
@@ -183,27 +187,27 @@
 for = "1s"
 servers = [0]
 `)
-	require.Positive(t, r.Figures["breaks"], "a kill breaks what stood there")
-	require.Positive(t, r.Figures["moves"], "who leaves moves its clients")
-	require.Greater(t, r.Figures["served"], 0.5)
+	require.Positive(t, result.Figures["breaks"], "a kill breaks the connections of the proxy")
+	require.Positive(t, result.Figures["moves"], "a proxy that leaves asks its clients to move")
+	require.Greater(t, result.Figures["served"], 0.5)
 }
 
 func TestBaselinesNeedNoProxy(t *testing.T) {
-	f, err := experiment.Parse("small.toml", []byte(baseExperiment))
+	file, err := experiment.Parse("small.toml", []byte(baseExperiment))
 	require.NoError(t, err)
-	for _, way := range []experiment.Placement{experiment.PlacementRandom, experiment.PlacementSingle, experiment.PlacementBest} {
-		t.Run(string(way), func(t *testing.T) {
+	for _, placement := range []experiment.Placement{experiment.PlacementRandom, experiment.PlacementSingle, experiment.PlacementBest} {
+		t.Run(string(placement), func(t *testing.T) {
 			t.Parallel()
-			r, err := f.Run(context.Background(), experiment.RunOptions{Seed: 3, Placement: way, Dir: t.TempDir()})
+			result, err := file.Run(context.Background(), experiment.RunOptions{Seed: 3, Placement: placement, Dir: t.TempDir()})
 			require.NoError(t, err)
-			require.Greater(t, r.Figures["served"], 0.8)
+			require.Greater(t, result.Figures["served"], 0.8)
 			used := 0
-			for _, n := range r.EstablishedBySecond[3] {
-				if n > 0 {
+			for _, connections := range result.EstablishedBySecond[3] {
+				if connections > 0 {
 					used++
 				}
 			}
-			require.Equal(t, way == experiment.PlacementSingle, used == 1)
+			require.Equal(t, placement == experiment.PlacementSingle, used == 1)
 		})
 	}
 }
