--- a/lab/experiment/file.go
+++ b/lab/experiment/file.go
@@ -66,7 +66,7 @@
 		SetUp    Duration `toml:"set-up"`    // work to establish a connection, on average
 		// Probe is the work of a probe, Load that of an established connection in a second, on average.
 		Probe, Load        Duration
-		LoadSpread         float64  `toml:"load-spread"`
+		LoadSpread         float64  `toml:"load-spread"`          // sigma of the log-normal distribution of connections\' loads; 0 for equal loads
 		LoadChange         Duration `toml:"load-change"`          // how long a connection's load lasts, on average; 0 for ever
 		GroupCost          float64  `toml:"group-cost"`           // work of a server for each group with a connection there, in mean loads
 		ConnectionsPerCore int      `toml:"connections-per-core"` // 0 for no limit
