--- a/agent/api.go
+++ b/agent/api.go
@@ -21,102 +21,104 @@
 	"hatchproxy/lease"
 )
 
-// ProtocolVersion is the protocol's between tool and agents, and between agents.
+// ProtocolVersion is the version of the HTTP protocol that hatchctl and agents speak with agents.
 const ProtocolVersion = 1
 
 const (
 	maxBodyBytes = 256 << 10
 	httpTimeout  = 10 * time.Second
-	// peerQueryTimeout is how long other agents may take to tell what they know.
+	// peerQueryTimeout is how long the other agents, or an instance, may take to answer when a request concerns all of them.
 	peerQueryTimeout = 1500 * time.Millisecond
 )
 
-// serveAPI opens the agent's surface and returns what closes it.
+// serveAPI starts the HTTP API for hatchctl and the other agents. It returns the function that closes it.
 func (a *Agent) serveAPI(ctx context.Context) (func() error, error) {
-	l, err := listen.TCP(ctx, a.config.Listen, a.log)
+	listener, err := listen.TCP(ctx, a.config.Listen, a.log)
 	if err != nil {
 		return nil, err
 	}
 	mux := http.NewServeMux()
-	v := fmt.Sprintf("/v%d", ProtocolVersion)
-	mux.HandleFunc("GET "+v+"/ping", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, "here") })
-	mux.HandleFunc("GET "+v+"/view", func(w http.ResponseWriter, r *http.Request) {
+	prefix := fmt.Sprintf("/v%d", ProtocolVersion)
+	mux.HandleFunc("GET "+prefix+"/ping", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, "here") })
+	mux.HandleFunc("GET "+prefix+"/view", func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("all") == "" {
 			writeJSON(w, http.StatusOK, a.localView())
 			return
 		}
 		writeJSON(w, http.StatusOK, a.clusterView(r.Context()))
 	})
-	mux.HandleFunc("GET "+v+"/log", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, a.journal.logStatus()) })
-	mux.HandleFunc("POST "+v+"/voters", func(w http.ResponseWriter, r *http.Request) {
-		var c voterChange
-		err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&c)
+	mux.HandleFunc("GET "+prefix+"/log", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, a.journal.logStatus()) })
+	mux.HandleFunc("POST "+prefix+"/voters", func(w http.ResponseWriter, r *http.Request) {
+		var change voterChange
+		err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&change)
 		if err == nil {
-			err = a.changeVoters(r.Context(), c, r.URL.Query().Get("passed") != "")
+			err = a.changeVoters(r.Context(), change, r.URL.Query().Get("passed") != "")
 		}
 		if err != nil {
 			writeJSON(w, http.StatusServiceUnavailable, map[string]string{"error": err.Error()})
 			return
 		}
-		writeJSON(w, http.StatusOK, c)
+		writeJSON(w, http.StatusOK, change)
 	})
-	mux.HandleFunc("POST "+v+"/commands", a.handleCommand)
-	mux.HandleFunc("POST "+v+"/duties", func(w http.ResponseWriter, r *http.Request) {
-		var q lease.Request
-		err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&q)
-		var p lease.Tokens
+	mux.HandleFunc("POST "+prefix+"/commands", a.handleCommand)
+	mux.HandleFunc("POST "+prefix+"/duties", func(w http.ResponseWriter, r *http.Request) {
+		var request lease.Request
+		err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&request)
+		var tokens lease.Tokens
 		if err == nil {
-			p, err = a.duties.handleRequest(q)
+			tokens, err = a.duties.handleRequest(request)
 		}
 		if err != nil {
 			writeJSON(w, http.StatusServiceUnavailable, map[string]string{"error": err.Error()})
 			return
 		}
-		writeJSON(w, http.StatusOK, p)
+		writeJSON(w, http.StatusOK, tokens)
 	})
-	mux.HandleFunc("POST "+v+"/reload", a.handleReload)
+	mux.HandleFunc("POST "+prefix+"/reload", a.handleReload)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		writeJSON(w, http.StatusNotFound, map[string]string{"error": fmt.Sprintf("%s %.100s is nothing here: agents speak protocol %d", r.Method, r.URL.Path, ProtocolVersion)})
 	})
-	s := &http.Server{Handler: mux, ReadTimeout: httpTimeout, WriteTimeout: 2 * httpTimeout, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10,
+	server := &http.Server{Handler: mux, ReadTimeout: httpTimeout, WriteTimeout: 2 * httpTimeout, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10,
 		ErrorLog: slog.NewLogLogger(a.log.Handler(), slog.LevelDebug), BaseContext: func(net.Listener) context.Context { return ctx }}
 	go func() {
-		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			a.log.Error("the surface has ended", "error", err)
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			a.log.Error("the HTTP API has stopped", "error", err)
 		}
 	}()
-	return s.Close, nil
+	return server.Close, nil
 }
 
-func writeJSON(w http.ResponseWriter, status int, what any) {
+// writeJSON writes a response with a JSON body.
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(what) // a failure is the other side's
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client is gone
 }
 
-// commandResult is what became of a command.
+// commandResult is the response to a command: the number under which it was committed, and the leader.
 type commandResult struct {
 	Number uint64 `json:"number"`
 	Leader string `json:"leader"`
 }
 
-// handleCommand has one agreed on; an agent that does not lead passes it on once.
+// handleCommand answers once a command is committed. An agent that does not lead forwards it to the leader, unless it was forwarded
+// already.
 func (a *Agent) handleCommand(w http.ResponseWriter, r *http.Request) {
-	no := func(status int, err error) { writeJSON(w, status, map[string]string{"error": err.Error()}) }
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
+	fail := func(status int, err error) { writeJSON(w, status, map[string]string{"error": err.Error()}) }
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
-		no(http.StatusRequestEntityTooLarge, err)
+		fail(http.StatusRequestEntityTooLarge, err)
 		return
 	}
 	var c clusterstate.Command
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&c); err != nil {
-		no(http.StatusBadRequest, fmt.Errorf("protocol %d does not understand this: %w", ProtocolVersion, err))
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&c); err != nil {
+		fail(http.StatusBadRequest, fmt.Errorf("protocol %d does not understand this: %w", ProtocolVersion, err))
 		return
 	}
 	if err := clusterstate.Validate(c); err != nil {
-		no(http.StatusBadRequest, err)
+		fail(http.StatusBadRequest, err)
 		return
 	}
 	number, err := a.journal.Submit(c)
@@ -124,191 +126,196 @@
 		number, err = a.forwardCommand(r.Context(), c)
 	}
 	if err != nil {
-		no(http.StatusServiceUnavailable, err)
+		fail(http.StatusServiceUnavailable, err)
 		return
 	}
 	writeJSON(w, http.StatusOK, commandResult{number, a.journal.Leader()})
 }
 
+// forwardCommand submits a command through the leader and returns its number.
 func (a *Agent) forwardCommand(ctx context.Context, c clusterstate.Command) (uint64, error) {
 	leader, err := a.leaderClient()
 	if err != nil {
 		return 0, err
 	}
 	defer leader.Close()
-	// Guards against a word to a leader that is cut off: nothing comes of it, not even a refusal. Whoever said it hears that the
-	// outcome is not known as soon as another leads, and says it again.
+	// A leader that is cut off from the other agents never answers, not even with an error. So the call ends as soon as this agent
+	// no longer sees that leader; the caller learns that the outcome is unknown and can submit the command again.
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	go func() {
-		for was := a.journal.Leader(); ctx.Err() == nil; {
+		for previous := a.journal.Leader(); ctx.Err() == nil; {
 			select {
 			case <-ctx.Done():
 			case <-time.After(leaderCheckInterval):
-				if a.journal.Leader() != was {
+				if a.journal.Leader() != previous {
 					cancel(errLeaderChanged)
 				}
 			}
 		}
 	}()
-	var s commandResult
-	err = leader.call(ctx, http.MethodPost, "commands?passed=1", c, &s)
+	var result commandResult
+	err = leader.call(ctx, http.MethodPost, "commands?passed=1", c, &result)
 	if errors.Is(context.Cause(ctx), errLeaderChanged) && err != nil {
 		err = errLeaderChanged
 	}
-	return s.Number, err
+	return result.Number, err
 }
 
-// errLeaderChanged is the answer where the leader fell silent and is no longer one.
+// errLeaderChanged is returned if the leader changed before it had answered a forwarded command.
 var errLeaderChanged = errors.New("it is not known whether it was agreed on: the leader that it was passed on to leads no more")
 
-// leaderCheckInterval is how often it is looked whether the leader is another: well below the time that finding one takes.
+// leaderCheckInterval is how often forwardCommand checks whether the leader has changed. It is well below the duration of an election.
 const leaderCheckInterval = 50 * time.Millisecond
 
-// leaderClient is the other agent that leads.
+// leaderClient returns a client of the agent that leads. It fails if none is known or it is this agent.
 func (a *Agent) leaderClient() (*Client, error) {
 	name := a.journal.Leader()
-	at := slices.IndexFunc(a.config.Peers, func(p Peer) bool { return p.Name == name })
-	if at < 0 {
+	i := slices.IndexFunc(a.config.Peers, func(p Peer) bool { return p.Name == name })
+	if i < 0 {
 		return nil, errors.New("no agent leads now: fewer than half of them see each other, or one is being chosen")
 	}
-	return newClientFrom(a.config.SourceAddress, a.config.Peers[at].Listen), nil
+	return newClientFrom(a.config.SourceAddress, a.config.Peers[i].Listen), nil
 }
 
-// handleReload has all local instances read their configuration again; it is no state, and is not agreed on.
+// handleReload makes all local instances reload their configuration, and with the parameter "all" those of the other agents, too. It
+// answers with the result by instance. A reload changes no replicated state, so it doesn't go through the log.
 func (a *Agent) handleReload(w http.ResponseWriter, r *http.Request) {
 	results := map[string]string{}
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for _, i := range a.instances {
-		all.Go(func() {
+		group.Go(func() {
 			ctx, cancel := context.WithTimeout(r.Context(), peerQueryTimeout)
 			defer cancel()
-			word := "obeyed"
+			result := "obeyed"
 			if err := i.control.Reload(ctx); err != nil {
-				word = err.Error()
+				result = err.Error()
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			results[i.Name] = word
+			results[i.Name] = result
 		})
 	}
-	all.Wait()
+	group.Wait()
 	if r.URL.Query().Get("all") != "" {
 		for _, p := range a.config.Peers {
 			c := newClientFrom(a.config.SourceAddress, p.Listen)
-			theirs := map[string]string{}
+			peerResults := map[string]string{}
 			ctx, cancel := context.WithTimeout(r.Context(), 2*peerQueryTimeout)
-			if err := c.call(ctx, http.MethodPost, "reload", nil, &theirs); err != nil {
+			if err := c.call(ctx, http.MethodPost, "reload", nil, &peerResults); err != nil {
 				results["agent "+p.Name] = err.Error()
 			}
 			cancel()
 			c.Close()
-			for name, word := range theirs {
-				results[name] = word
+			for name, result := range peerResults {
+				results[name] = result
 			}
 		}
 	}
 	writeJSON(w, http.StatusOK, results)
 }
 
-// clusterView is what all agents know together.
+// clusterView returns this agent's view with the instances of all other agents added, and names the agents that did not answer in time.
 func (a *Agent) clusterView(ctx context.Context) View {
 	v := a.localView()
 	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
 	defer cancel()
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for _, p := range a.config.Peers {
-		all.Go(func() {
+		group.Go(func() {
 			c := newClientFrom(a.config.SourceAddress, p.Listen)
 			defer c.Close()
-			theirs, err := c.view(ctx, "view")
+			peerView, err := c.view(ctx, "view")
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
 				v.SilentAgents = append(v.SilentAgents, p.Name)
 				return
 			}
-			v.Instances = append(v.Instances, theirs.Instances...)
-			for _, m := range theirs.Members {
+			v.Instances = append(v.Instances, peerView.Instances...)
+			for _, m := range peerView.Members {
 				if m.Kind == "instance" {
 					v.Members = append(v.Members, m)
 				}
 			}
 		})
 	}
-	all.Wait()
+	group.Wait()
 	slices.SortFunc(v.Instances, func(x, y InstanceView) int { return strings.Compare(x.Name, y.Name) })
 	slices.Sort(v.SilentAgents)
 	return v
 }
 
-// Client asks an agent.
+// Client calls the HTTP API of an agent.
 type Client struct {
 	baseURL    string
 	httpClient *http.Client
 }
 
-// NewClient names an agent by its address; nothing is sent yet.
+// NewClient returns a client of the agent at an address. It sends nothing yet.
 func NewClient(address string) *Client { return newClientFrom("", address) }
 
-// newClientFrom has the calls go out from an address.
-func newClientFrom(from, address string) *Client {
+// newClientFrom returns a client that connects from a source address, or from any if it is "".
+func newClientFrom(source, address string) *Client {
 	return &Client{"http://" + address, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true,
-		DialContext: newDialer(from, httpTimeout).DialContext}}}
+		DialContext: newDialer(source, httpTimeout).DialContext}}}
 }
 
-// newDialer calls from an address, or from any.
-func newDialer(from string, within time.Duration) *net.Dialer {
-	d := &net.Dialer{Timeout: within}
-	if from != "" {
-		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(from)}
+// newDialer returns a dialer that connects from a source address, or from any if it is "".
+func newDialer(source string, timeout time.Duration) *net.Dialer {
+	d := &net.Dialer{Timeout: timeout}
+	if source != "" {
+		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(source)}
 	}
 	return d
 }
 
-// Close gives its idle connections back.
+// Close closes the idle connections.
 func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
+// call sends a request to a path below the version prefix and decodes the response.
 func (c *Client) call(ctx context.Context, method, path string, body, into any) error {
 	return control.CallJSON(ctx, c.httpClient, method, fmt.Sprintf("%s/v%d/%s", c.baseURL, ProtocolVersion, path), body, into)
 }
 
-// Ping asks whether the agent is there.
+// Ping returns nil if the agent answers.
 func (c *Client) Ping(ctx context.Context) error {
-	var word string
-	return c.call(ctx, http.MethodGet, "ping", nil, &word)
+	var response string
+	return c.call(ctx, http.MethodGet, "ping", nil, &response)
 }
 
+// view fetches a view from a path.
 func (c *Client) view(ctx context.Context, path string) (v View, err error) {
 	return v, c.call(ctx, http.MethodGet, path, nil, &v)
 }
 
-// View is what the agent knows by itself.
+// View returns what the agent itself knows.
 func (c *Client) View(ctx context.Context) (View, error) { return c.view(ctx, "view") }
 
-// ClusterView is what all agents know together, as far as they answer.
+// ClusterView returns what all agents know together, as far as they answer.
 func (c *Client) ClusterView(ctx context.Context) (View, error) { return c.view(ctx, "view?all=1") }
 
-// Submit has a command agreed on and returns its number.
+// Submit returns the number of a command once it is committed. After an error the command may still be committed; it is safe to
+// submit it again with the same ID.
 func (c *Client) Submit(ctx context.Context, command clusterstate.Command) (uint64, error) {
-	var s commandResult
-	return s.Number, c.call(ctx, http.MethodPost, "commands", command, &s)
+	var result commandResult
+	return result.Number, c.call(ctx, http.MethodPost, "commands", command, &result)
 }
 
-// AppliedIndex is the number of the last entry that the agent has acted on.
+// AppliedIndex returns the index of the last log entry that the agent has applied.
 func (c *Client) AppliedIndex(ctx context.Context) (uint64, error) {
-	h, err := c.logStatus(ctx)
-	return h.AppliedIndex, err
+	status, err := c.logStatus(ctx)
+	return status.AppliedIndex, err
 }
 
-// ChangeVoters changes who votes: what is promote, demote or forget.
-func (c *Client) ChangeVoters(ctx context.Context, what, name string) error {
-	return c.call(ctx, http.MethodPost, "voters", voterChange{Name: name, Action: what}, nil)
+// ChangeVoters changes whether an agent votes. The action is promote, demote or forget.
+func (c *Client) ChangeVoters(ctx context.Context, action, name string) error {
+	return c.call(ctx, http.MethodPost, "voters", voterChange{Name: name, Action: action}, nil)
 }
 
-// Reload has all instances read their configuration again, and tells what each answered.
+// Reload makes all instances reload their configuration and returns the result by instance: "obeyed" or an error.
 func (c *Client) Reload(ctx context.Context) (map[string]string, error) {
 	results := map[string]string{}
 	return results, c.call(ctx, http.MethodPost, "reload?all=1", nil, &results)
--- a/agent/journal.go
+++ b/agent/journal.go
@@ -23,165 +23,172 @@
 	"hatchproxy/internal/transient"
 )
 
-// Journal is the replicated log of commands and the state that it leads to. It owns its files and its port.
+// Journal is this agent's copy of the replicated log of commands, with the state that results from it. It owns the log's files and
+// the port on which the agents replicate it.
 type Journal struct {
 	raft         *raft.Raft
 	store        *logStore
 	transport    *guardedTransport
-	hadState     bool              // there was a log when it was opened
-	logAddresses map[string]string // where the agents' logs reach each other, this one among them
-	nonvoters    []string          // those that have no vote at first
-	admitPeers   func()            // lets the other agents' logs in
+	hadState     bool              // whether a log existed when it was opened
+	logAddresses map[string]string // by agent, this one included: the address at which the others reach its log
+	nonvoters    []string          // agents that start without a vote
+	admitPeers   func()            // starts accepting and making connections for replication
 	*stateMachine
 }
 
-// stateMachine applies the log to the state. What it has applied is written down too: a log alone does not know how far it was agreed
-// on until a leader says so, and an agent that comes back alone would have its instances go by nothing.
+// stateMachine applies committed log entries to the state and saves the result to a file. The log alone doesn't tell which of its
+// entries are committed until a leader says so, so without the file an agent that restarts while the others are unreachable would
+// have no state for its instances.
 type stateMachine struct {
 	mu        sync.Mutex
 	state     clusterstate.State
-	persisted clusterstate.State // what was applied before this start; it counts until the log has come that far again
-	path      string             // where it is written down
-	changed   chan struct{}
+	persisted clusterstate.State // what was saved before this start; used until the log has been applied up to the same index
+	path      string             // the file that the state is saved to
+	changed   chan struct{}      // closed at the next change
 }
 
 const (
-	// defaultElectionTimeout is how often a leader tells that it is there; without it for as long another is chosen. On one site's
-	// network, where a way takes milliseconds. Between sites it has to be well above there and back: agents' files may say more.
+	// defaultElectionTimeout is how long the agents wait without hearing from the leader before they elect another. It suits a
+	// network within one site, with delays of milliseconds. Between sites the timeout has to be well above the round-trip time; the
+	// agents' configuration files can set it.
 	defaultElectionTimeout = 300 * time.Millisecond
-	// commitNotifyInterval is how often a leader tells each other agent how far has been agreed on. With 5 ms a hundred agents at rest
-	// had 3.7 MB a second between them and heard commands later (p50 192 ms, with 25 ms 133 ms and 1.5 MB).
+	// commitNotifyInterval is how often a leader tells each other agent up to which entry the log is committed. Much shorter
+	// intervals multiply the traffic of a large idle cluster, and commands then arrive later.
 	commitNotifyInterval = 25 * time.Millisecond
-	// commitTimeout is how long a command may take until most agents have it.
+	// commitTimeout limits how long a command may wait to be accepted by the log.
 	commitTimeout = 5 * time.Second
-	// keptSnapshots are two: the one before serves if the last is torn.
+	// keptSnapshots is the number of snapshots on disk. The older one is used if the newer one is damaged.
 	keptSnapshots = 2
 )
 
-// streamLayer is how logs reach each other: from the agent's own address, and under the one that it is known by.
+// streamLayer makes and accepts the connections for replication. It connects from the agent's source address and tells the others
+// the agent's advertised address.
 type streamLayer struct {
 	*gate
 	sourceIP, advertisedAddress string
 }
 
+// logAddress is a net.Addr that holds an advertised address as it was configured.
 type logAddress string
 
 func (a logAddress) Network() string { return "tcp" }
 func (a logAddress) String() string  { return string(a) }
 
-// Addr is where the others reach this log.
+// Addr returns the address at which the other agents reach this log.
 func (l streamLayer) Addr() net.Addr { return logAddress(l.advertisedAddress) }
 
-// Dial calls another's.
-func (l streamLayer) Dial(at raft.ServerAddress, within time.Duration) (net.Conn, error) {
+// Dial connects to the log of another agent. It fails until this agent takes part in the replication.
+func (l streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	if !l.isOpen() {
-		return nil, errors.New("this agent takes no part yet")
+		return nil, errors.New("this agent does not take part in the replication yet")
 	}
-	return newDialer(l.sourceIP, within).Dial("tcp", string(at))
+	return newDialer(l.sourceIP, timeout).Dial("tcp", string(address))
 }
 
-// openJournal opens an agent's log in its folder. Where there is none yet, it takes no part until it is founded (founding.go).
-func openJournal(p *Config) (j *Journal, err error) {
-	folder, name := p.DataDir, p.Name
-	at := filepath.Join(folder, "log.db")
-	_, missing := os.Stat(at)
-	// Guards against a file that a full disk has left half made: the next start would find it torn.
+// openJournal opens the agent's log in its data folder. If there is none yet, the agent takes no part in the replication until it
+// joins or bootstraps the cluster (bootstrap.go).
+func openJournal(config *Config) (j *Journal, err error) {
+	dir, name := config.DataDir, config.Name
+	path := filepath.Join(dir, "log.db")
+	_, statErr := os.Stat(path)
+	// Removes the partial file that a full disk may leave behind: the next start would take it for a corrupt log.
 	defer func() {
-		if err != nil && os.IsNotExist(missing) {
-			_ = os.Remove(at)
+		if err != nil && os.IsNotExist(statErr) {
+			_ = os.Remove(path)
 		}
 	}()
-	// Guards against half a state: what cannot be read is said, and nothing is touched.
+	// The database panics on a corrupt file. That is reported, and the file is left untouched rather than read in part.
 	defer func() {
-		if p := recover(); p != nil {
-			j, err = nil, fmt.Errorf("%s is torn (%v); nothing was changed: set it aside, and the other agents, if there are any, tell this one what stands", at, p)
+		if cause := recover(); cause != nil {
+			j, err = nil, fmt.Errorf("%s is corrupt (%v); nothing was changed: move it away, and this agent gets its state from the other agents, if there are any", path, cause)
 		}
 	}()
-	if err := os.MkdirAll(folder, 0o700); err != nil {
+	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	bolt, err := boltdb.New(boltdb.Options{Path: at, BoltOptions: &bbolt.Options{Timeout: 2 * time.Second}})
+	bolt, err := boltdb.New(boltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: 2 * time.Second}})
 	if err != nil {
-		return nil, fmt.Errorf("%s cannot be opened; nothing was changed (is another agent running there?): %w", at, err)
+		return nil, fmt.Errorf("%s cannot be opened; nothing was changed (is another agent running there?): %w", path, err)
 	}
 	store := &logStore{BoltStore: bolt, writeFailed: make(chan struct{})}
-	shut := func(err error) (*Journal, error) { return nil, errors.Join(err, store.Close()) }
-	snapshots, err := raft.NewFileSnapshotStore(folder, keptSnapshots, io.Discard)
+	closeStore := func(err error) (*Journal, error) { return nil, errors.Join(err, store.Close()) }
+	snapshots, err := raft.NewFileSnapshotStore(dir, keptSnapshots, io.Discard)
 	if err != nil {
-		return shut(err)
+		return closeStore(err)
 	}
-	had, err := raft.HasExistingState(store, store, snapshots)
+	hadState, err := raft.HasExistingState(store, store, snapshots)
 	if err != nil {
-		return shut(err)
+		return closeStore(err)
 	}
-	l, err := net.Listen("tcp", p.LogAddress)
+	listener, err := net.Listen("tcp", config.LogAddress)
 	if err != nil {
-		return shut(err)
+		return closeStore(err)
 	}
-	reached := map[string]string{name: cmp.Or(p.AdvertisedLogAddress, p.LogAddress)}
-	var hear []string
-	for _, peer := range p.Peers {
-		reached[peer.Name] = peer.Log
+	addresses := map[string]string{name: cmp.Or(config.AdvertisedLogAddress, config.LogAddress)}
+	var nonvoters []string
+	for _, peer := range config.Peers {
+		addresses[peer.Name] = peer.Log
 		if peer.NonVoter {
-			hear = append(hear, peer.Name)
+			nonvoters = append(nonvoters, peer.Name)
 		}
 	}
-	g := &gate{Listener: l, openSignal: make(chan struct{}), closeSignal: make(chan struct{})}
-	trans := newGuardedTransport(raft.NewNetworkTransport(streamLayer{g, p.SourceAddress, reached[name]}, 3, time.Second, io.Discard))
-	silence, err := p.electionTimeout()
+	logGate := &gate{Listener: listener, openSignal: make(chan struct{}), closeSignal: make(chan struct{})}
+	transport := newGuardedTransport(raft.NewNetworkTransport(streamLayer{logGate, config.SourceAddress, addresses[name]}, 3, time.Second, io.Discard))
+	timeout, err := config.electionTimeout()
 	if err != nil {
-		return shut(err)
+		return closeStore(err)
 	}
 	c := raft.DefaultConfig()
 	c.LocalID = raft.ServerID(name)
-	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout, c.CommitTimeout = silence, silence, silence*2/3, commitNotifyInterval
+	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout, c.CommitTimeout = timeout, timeout, timeout*2/3, commitNotifyInterval
 	c.Logger = hclog.New(&hclog.LoggerOptions{Level: hclog.Error, Output: os.Stderr})
-	j = &Journal{store: store, transport: trans, hadState: had, logAddresses: reached, nonvoters: hear, admitPeers: sync.OnceFunc(func() { close(g.openSignal) }),
-		stateMachine: newStateMachine(filepath.Join(folder, "applied.json"))}
-	if j.raft, err = raft.NewRaft(c, j.stateMachine, store, store, snapshots, trans); err != nil {
-		return shut(errors.Join(err, trans.Close()))
+	j = &Journal{store: store, transport: transport, hadState: hadState, logAddresses: addresses, nonvoters: nonvoters, admitPeers: sync.OnceFunc(func() { close(logGate.openSignal) }),
+		stateMachine: newStateMachine(filepath.Join(dir, "applied.json"))}
+	if j.raft, err = raft.NewRaft(c, j.stateMachine, store, store, snapshots, transport); err != nil {
+		return closeStore(errors.Join(err, transport.Close()))
 	}
 	return j, nil
 }
 
-// Close ends it.
+// Close stops the replication and closes the log's files.
 func (j *Journal) Close() error {
 	return errors.Join(j.raft.Shutdown().Error(), j.transport.Close(), j.store.Close())
 }
 
-// errNotLeader is the answer of an agent that does not lead now.
+// errNotLeader is returned by an agent that is not the leader.
 var errNotLeader = errors.New("this agent does not lead")
 
-// Submit has a command agreed on and returns its number. It is only done by the agent that leads.
+// Submit appends a command to the log, waits until it is committed and applied, and returns its number. It fails with errNotLeader
+// unless this agent leads. After any other failure of the log it is unknown whether the command was committed.
 func (j *Journal) Submit(c clusterstate.Command) (uint64, error) {
 	if err := clusterstate.Validate(c); err != nil {
 		return 0, err
 	}
-	text, err := json.Marshal(c)
+	data, err := json.Marshal(c)
 	if err != nil {
 		return 0, err
 	}
-	f := j.raft.Apply(text, commitTimeout)
-	if err := f.Error(); err != nil {
+	future := j.raft.Apply(data, commitTimeout)
+	if err := future.Error(); err != nil {
 		if errors.Is(err, raft.ErrNotLeader) {
 			return 0, errNotLeader
 		}
 		return 0, fmt.Errorf("it is not known whether it was agreed on: %w", err)
 	}
-	said := f.Response().(applyResult)
-	return said.number, said.err
+	result := future.Response().(applyResult)
+	return result.number, result.err
 }
 
-// Leader is the name of the agent that leads; "" if none is known.
+// Leader returns the name of the agent that leads, "" if none is known.
 func (j *Journal) Leader() string {
 	_, id := j.raft.LeaderWithID()
 	return string(id)
 }
 
-// Term is the present one.
+// Term returns the current term.
 func (j *Journal) Term() uint64 { return j.raft.CurrentTerm() }
 
-// IsLeader tells whether this agent leads, and the term. A term that turns while it is asked counts as one not led.
+// IsLeader reports whether this agent leads, and the current term. If the term changes during the call, it reports false.
 func (j *Journal) IsLeader() (bool, uint64) {
 	before := j.raft.CurrentTerm()
 	leads := j.raft.State() == raft.Leader
@@ -189,23 +196,24 @@
 	return leads && before == term, term
 }
 
-// ReadState reads the state; the state is not to be kept or changed.
+// ReadState calls read with the current state, which read must neither change nor keep.
 func (j *Journal) ReadState(read func(*clusterstate.State)) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	read(j.current())
 }
 
-// newStateMachine starts with what was written down. What cannot be read counts as nothing: the log has it all.
+// newStateMachine returns a state machine that starts from the state saved at path. A file that cannot be read is ignored: the log
+// holds the same commands.
 func newStateMachine(path string) *stateMachine {
 	m := &stateMachine{path: path, changed: make(chan struct{})}
-	if text, err := transient.ReadFile(path); err == nil {
-		_ = m.persisted.Decode(text)
+	if data, err := transient.ReadFile(path); err == nil {
+		_ = m.persisted.Decode(data)
 	}
 	return m
 }
 
-// current is the state that counts. The lock is held.
+// current returns the newer of the applied and the saved state. The caller holds the lock.
 func (m *stateMachine) current() *clusterstate.State {
 	if m.persisted.AppliedIndex > m.state.AppliedIndex {
 		return &m.persisted
@@ -213,51 +221,51 @@
 	return &m.state
 }
 
-// persist writes the state down before anybody goes by it. The lock is held.
+// persist saves the state, before anyone is told of the change. The caller holds the lock.
 func (m *stateMachine) persist() {
 	if m.persisted.AppliedIndex >= m.state.AppliedIndex {
 		return
 	}
-	text, err := m.state.Encode()
+	data, err := m.state.Encode()
 	if err == nil {
-		err = writeFileAtomically(m.path, text)
+		err = writeFileAtomically(m.path, data)
 	}
 	if err != nil {
-		// It goes on: a full disk is no reason to keep an order from instances. Until it has room, this agent comes back alone with what
-		// it wrote down last.
-		slog.Error("what was agreed on cannot be written down", "error", err)
+		// The agent goes on: a full disk must not keep orders from the instances. If it restarts without the other agents before
+		// there is space again, it starts from the state that was saved last.
+		slog.Error("cannot save the applied state", "error", err)
 	}
 }
 
-// Changed is closed with the next change.
+// Changed returns a channel that is closed at the next change of the state.
 func (j *Journal) Changed() <-chan struct{} {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.changed
 }
 
-// applyResult is what became of a command.
+// applyResult is the result of a command: its number, or why it was rejected.
 type applyResult struct {
 	number uint64
 	err    error
 }
 
-// Apply is called by the log with what was agreed on.
+// Apply applies a committed log entry. It is called by raft.
 func (m *stateMachine) Apply(l *raft.Log) any {
 	var c clusterstate.Command
 	if err := json.Unmarshal(l.Data, &c); err != nil {
 		return applyResult{0, err}
 	}
-	// Guards against a grant by what was seen before another led meanwhile, who may have promised on: it must stand in the log of
-	// the term in which its author looked.
-	late := c.Verb == clusterstate.Grant && c.Term != l.Term
-	if late {
-		c = clusterstate.Command{} // it takes its place, and changes nothing
+	// A grant is rejected unless it is in the log under the term in which its author read the state. Otherwise another agent may
+	// have led in between and renewed the lease of the holder that the grant replaces.
+	outdated := c.Verb == clusterstate.Grant && c.Term != l.Term
+	if outdated {
+		c = clusterstate.Command{} // an invalid command: only the applied index advances
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	number, err := m.state.Apply(l.Index, c)
-	if late {
+	if outdated {
 		err = fmt.Errorf("it was looked up in another term than %d", l.Term)
 	}
 	m.persist()
@@ -265,28 +273,30 @@
 	return applyResult{number, err}
 }
 
+// notifyChanged wakes everyone who waits for a change. The caller holds the lock.
 func (m *stateMachine) notifyChanged() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// Snapshot and Restore keep the log short.
+// Snapshot returns the encoded state, with which raft replaces old log entries.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	text, err := m.state.Encode()
-	return snapshot(text), err
+	data, err := m.state.Encode()
+	return snapshot(data), err
 }
 
+// Restore replaces the state with one from a snapshot.
 func (m *stateMachine) Restore(from io.ReadCloser) error {
 	defer from.Close()
-	text, err := io.ReadAll(from)
+	data, err := io.ReadAll(from)
 	if err != nil {
 		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.state.Decode(text); err != nil {
+	if err := m.state.Decode(data); err != nil {
 		return err
 	}
 	m.persist()
@@ -294,13 +304,16 @@
 	return nil
 }
 
+// snapshot is an encoded state.
 type snapshot []byte
 
-func (s snapshot) Persist(to raft.SnapshotSink) error {
-	if _, err := to.Write(s); err != nil {
-		return errors.Join(err, to.Cancel())
+// Persist writes the snapshot to raft's snapshot store.
+func (s snapshot) Persist(sink raft.SnapshotSink) error {
+	if _, err := sink.Write(s); err != nil {
+		return errors.Join(err, sink.Cancel())
 	}
-	return to.Close()
+	return sink.Close()
 }
 
+// Release does nothing: a snapshot holds no resources.
 func (s snapshot) Release() {}
--- a/agent/process.go
+++ b/agent/process.go
@@ -12,25 +12,25 @@
 	"hatchproxy/internal/transient"
 )
 
-// process is an instance's, started by this agent or by one before it: an agent that dies leaves its instances
-// running, and the next one finds them by what is written beside their logs.
+// process is the process of an instance, started by this agent or by an earlier run of it: instances keep running when their agent
+// dies, and the next run finds them through the file that this type is saved to.
 type process struct {
 	PID           int    `json:"pid"`
-	StartTime     string `json:"start"`   // the kernel's: tells a process from a later one of the same number
-	RestartNumber uint64 `json:"restart"` // the command that it was last started anew for
+	StartTime     string `json:"start"`   // as the kernel counts it; tells the process from a later one with the same PID
+	RestartNumber uint64 `json:"restart"` // the number of the last restart command that this process has fulfilled
 
-	exitReason chan string // of an own child; nil of one that was found
+	exitReason chan string // receives why it ended; nil if an earlier run of the agent started it
 }
 
-// startProcess starts one that outlives this program.
+// startProcess starts a process that outlives the agent, with its output appended to the file log.
 func startProcess(command []string, log string, restart uint64) (*process, error) {
-	out, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer out.Close()
+	defer logFile.Close()
 	cmd := exec.Command(command[0], command[1:]...)
-	cmd.Stdout, cmd.Stderr = out, out
+	cmd.Stdout, cmd.Stderr = logFile, logFile
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		return nil, err
@@ -38,65 +38,67 @@
 	p := &process{PID: cmd.Process.Pid, RestartNumber: restart, exitReason: make(chan string, 1)}
 	_, p.StartTime = kernelStartTime(p.PID)
 	go func() {
-		why := "it ended by itself"
+		reason := "it ended by itself"
 		if err := cmd.Wait(); err != nil {
-			why = err.Error()
+			reason = err.Error()
 		}
-		p.exitReason <- why
+		p.exitReason <- reason
 	}()
 	return p, nil
 }
 
-// kernelStartTime reads when a process started, by the kernel's count; false if there is none, or only its remains.
+// kernelStartTime returns when a process started, in the kernel's clock ticks since boot. It returns false if there is no such
+// process, or only a zombie.
 func kernelStartTime(pid int) (bool, string) {
-	text, err := transient.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	stat, err := transient.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return false, ""
 	}
-	words := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
-	if len(words) < 20 || words[0] == "Z" || words[0] == "X" {
+	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
+	if len(fields) < 20 || fields[0] == "Z" || fields[0] == "X" {
 		return false, ""
 	}
-	return true, words[19]
+	return true, fields[19]
 }
 
-// hasExited tells whether it has ended, and why.
+// hasExited reports whether the process has ended, and why.
 func (p *process) hasExited() (bool, string) {
 	if p.exitReason != nil {
 		select {
-		case why := <-p.exitReason:
-			return true, why
+		case reason := <-p.exitReason:
+			return true, reason
 		default:
 			return false, ""
 		}
 	}
-	there, start := kernelStartTime(p.PID)
-	return !there || start != p.StartTime, "it ended"
+	exists, start := kernelStartTime(p.PID)
+	return !exists || start != p.StartTime, "it ended"
 }
 
+// signal sends a signal to the process; a failure is ignored.
 func (p *process) signal(s syscall.Signal) { _ = syscall.Kill(p.PID, s) }
 
-// save writes down which process an instance's is, whole or not at all.
+// save writes the process to a file, atomically.
 func (p *process) save(path string) error {
-	text, err := json.Marshal(p)
+	data, err := json.Marshal(p)
 	if err != nil {
 		return err
 	}
-	return writeFileAtomically(path, text)
+	return writeFileAtomically(path, data)
 }
 
-// writeFileAtomically writes a file whole or not at all.
-func writeFileAtomically(path string, text []byte) error {
+// writeFileAtomically replaces a file by way of a temporary file, so that a crash leaves either the old content or the new.
+func writeFileAtomically(path string, data []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".new-")
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(text)
+	_, err = f.Write(data)
 	if err == nil {
 		err = f.Sync()
 	}
-	if shut := f.Close(); err == nil {
-		err = shut
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
 		err = os.Rename(f.Name(), path)
@@ -107,27 +109,28 @@
 	return err
 }
 
-// savedRestartNumber is the restart for which an instance was last started, or was about to be.
+// savedRestartNumber returns the number of the restart command for which an instance was last started, or was about to be started
+// when the agent died.
 func savedRestartNumber(path string) uint64 {
 	var p process
-	if text, err := transient.ReadFile(path); err == nil {
-		_ = json.Unmarshal(text, &p) // what is torn tells nothing: 0
+	if data, err := transient.ReadFile(path); err == nil {
+		_ = json.Unmarshal(data, &p) // 0 if the file is damaged
 	}
 	return p.RestartNumber
 }
 
-// findRunningProcess is the process of an instance that an agent before this one has left running; nil if there is none.
+// findRunningProcess returns the process that an earlier run of the agent saved at path, nil if there is none or it has ended.
 func findRunningProcess(path string) *process {
-	// Guards against a second process beside one that runs, since the file could not be read for a moment.
-	text, err := transient.ReadFile(path)
+	// Transient read errors are retried: otherwise the agent would start a second process beside the running one.
+	data, err := transient.ReadFile(path)
 	if err != nil {
 		return nil
 	}
 	var p process
-	if json.Unmarshal(text, &p) != nil || p.PID <= 1 {
+	if json.Unmarshal(data, &p) != nil || p.PID <= 1 {
 		return nil
 	}
-	if over, _ := p.hasExited(); over {
+	if exited, _ := p.hasExited(); exited {
 		return nil
 	}
 	return &p
--- a/agent/process_test.go
+++ b/agent/process_test.go
@@ -16,8 +16,8 @@
 	"hatchproxy/lab/sysfault"
 )
 
-// An agent that cannot read for a moment which instance runs must not start another beside it.
-func TestAnInstanceIsFoundThroughReadsThatFailForAMoment(t *testing.T) {
+// An agent must not start a second process for an instance because it could not read the file of the running process for a moment.
+func TestRunningProcessIsFoundDespiteTransientReadErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "instance")
 	require.NoError(t, agent.SaveProcess(path, os.Getpid()))
 	for _, errno := range []syscall.Errno{unix.EIO, unix.EMFILE, unix.ENFILE} {
@@ -25,23 +25,23 @@
 			t.Run(fmt.Sprint(unix.ErrnoName(errno), " ", most), func(t *testing.T) {
 				finder := exec.Command(os.Args[0], path)
 				finder.Env = append(os.Environ(), "HATCH_ROLE=finder")
-				in, err := finder.StdinPipe()
+				stdin, err := finder.StdinPipe()
 				require.NoError(t, err)
-				said, err := finder.StdoutPipe()
+				stdout, err := finder.StdoutPipe()
 				require.NoError(t, err)
 				finder.Stderr = os.Stderr
 				shim, err := sysfault.Start(finder, 1, sysfault.Open)
 				require.NoError(t, err)
 				ready := make([]byte, 1)
-				_, err = said.Read(ready) // it has started
+				_, err = stdout.Read(ready) // the helper process has started
 				require.NoError(t, err)
 				shim.Begin(sysfault.Fault{Call: sysfault.Open, Errors: []syscall.Errno{errno}, Chance: 1, Most: most})
-				_, err = in.Write([]byte("\n"))
+				_, err = stdin.Write([]byte("\n"))
 				require.NoError(t, err)
-				out, err := io.ReadAll(said)
+				found, err := io.ReadAll(stdout)
 				require.NoError(t, err)
 				require.NoError(t, finder.Wait())
-				require.Equal(t, fmt.Sprintln(os.Getpid()), string(out))
+				require.Equal(t, fmt.Sprintln(os.Getpid()), string(found))
 			})
 		}
 	}
--- a/agent/store_test.go
+++ b/agent/store_test.go
@@ -13,9 +13,10 @@
 	"hatchproxy/agent/clusterstate"
 )
 
-// A leader's entries replaced some of a voter whose disk was full: the old ones were gone and the new ones found no room. It answered
-// every leader from then on that it lacked an entry, also when there was room again (hatchlab chaos, three.toml, seed 3032).
-func TestALogThatComesApartFromTheDiskIsTold(t *testing.T) {
+// A leader's entries replaced some of a voter whose disk was full: the old ones were deleted and the new ones could not be written. From
+// then on the voter rejected every leader's entries because one was missing, even once there was space again (hatchlab chaos,
+// three.toml, seed 3032).
+func TestFailedLogWriteIsReported(t *testing.T) {
 	b, err := boltdb.NewBoltStore(filepath.Join(t.TempDir(), "log.db"))
 	require.NoError(t, err)
 	s := &logStore{BoltStore: b, writeFailed: make(chan struct{})}
@@ -24,47 +25,48 @@
 	require.NoError(t, s.StoreLog(&raft.Log{Index: 2}))
 	select {
 	case <-s.writeFailed:
-		t.Fatal("all was written")
+		t.Fatal("a failure was reported although everything was written")
 	default:
 	}
-	require.NoError(t, s.Close()) // nothing can be written any more
+	require.NoError(t, s.Close()) // all further writes fail
 	require.Error(t, s.StoreLog(&raft.Log{Index: 3}))
 	<-s.writeFailed
 }
 
-// A grant was made up while its author led, and came into the log when it led again: another had led between, and promised on.
-func TestAGrantFromAnEarlierTermChangesNothing(t *testing.T) {
+// A grant was decided in one term of its author and committed in a later one. Another agent had led in between and renewed the lease of
+// the previous holder.
+func TestGrantFromAnEarlierTermIsRejected(t *testing.T) {
 	m := newStateMachine(filepath.Join(t.TempDir(), "applied.json"))
-	say := func(index, term uint64, c clusterstate.Command) error {
-		text, err := json.Marshal(c)
+	apply := func(index, term uint64, c clusterstate.Command) error {
+		data, err := json.Marshal(c)
 		require.NoError(t, err)
-		return m.Apply(&raft.Log{Index: index, Term: term, Data: text}).(applyResult).err
+		return m.Apply(&raft.Log{Index: index, Term: term, Data: data}).(applyResult).err
 	}
 	grant := clusterstate.Command{ID: "g", Verb: clusterstate.Grant, Duty: "d", Holder: "a0", Term: 3}
-	require.ErrorContains(t, say(5, 4, grant), "another term")
+	require.ErrorContains(t, apply(5, 4, grant), "another term")
 	require.Empty(t, m.state.Duties)
-	require.NoError(t, say(6, 3, grant))
+	require.NoError(t, apply(6, 3, grant))
 	require.EqualValues(t, 6, m.state.Duties["d"].Token)
-	require.Error(t, say(7, 3, grant), "it replaces what nobody holds any more")
+	require.Error(t, apply(7, 3, grant), "it replaces a token that is no longer current")
 	grant.Token, grant.Holder = 6, "a1"
-	require.NoError(t, say(8, 3, grant))
+	require.NoError(t, apply(8, 3, grant))
 	roll := clusterstate.Command{ID: "r", Verb: clusterstate.Roll, Instances: []string{"n0", "n1", "n2"}, Share: 0.4}
-	require.NoError(t, say(9, 3, roll))
+	require.NoError(t, apply(9, 3, roll))
 	step := clusterstate.Command{ID: "r-0", Verb: clusterstate.Step, RollingRestartID: "r", Duty: "d", Token: 6}
-	require.ErrorContains(t, say(10, 3, step), "held by token 8, and this is 6", "its holder stalled between look and act")
+	require.ErrorContains(t, apply(10, 3, step), "held by token 8, and this is 6", "the holder was delayed between its check and its action")
 	step.Token = 8
-	require.NoError(t, say(11, 3, step))
+	require.NoError(t, apply(11, 3, step))
 	step.ID = "r-0 again"
-	require.ErrorContains(t, say(12, 3, step), "has begun 1 steps")
-	require.NoError(t, say(13, 3, clusterstate.Command{ID: "p", Verb: clusterstate.Pause, RollingRestartID: "r"}))
+	require.ErrorContains(t, apply(12, 3, step), "has begun 1 steps")
+	require.NoError(t, apply(13, 3, clusterstate.Command{ID: "p", Verb: clusterstate.Pause, RollingRestartID: "r"}))
 	step.ID, step.Step = "r-1", 1
-	require.ErrorContains(t, say(14, 3, step), "is paused")
-	require.NoError(t, say(15, 3, clusterstate.Command{ID: "o", Verb: clusterstate.Resume, RollingRestartID: "r"}))
+	require.ErrorContains(t, apply(14, 3, step), "is paused")
+	require.NoError(t, apply(15, 3, clusterstate.Command{ID: "o", Verb: clusterstate.Resume, RollingRestartID: "r"}))
 	for n := range uint64(3) {
 		step.ID, step.Step = fmt.Sprint("r-", n+1), int(n)+1
-		require.NoError(t, say(16+n, 3, step))
+		require.NoError(t, apply(16+n, 3, step))
 	}
 	require.Equal(t, clusterstate.Done, m.state.RollingRestarts[0].State)
-	again := newStateMachine(m.path)
-	require.Equal(t, m.state.Duties, again.current().Duties, "the tokens outlive a restart")
+	restarted := newStateMachine(m.path)
+	require.Equal(t, m.state.Duties, restarted.current().Duties, "the tokens survive a restart")
 }
--- a/agent/supervisor/supervisor.go
+++ b/agent/supervisor/supervisor.go
@@ -1,5 +1,6 @@
-// Package keeper decides when an instance is started, and when it is a crash loop. It is free of I/O: it is handed the
-// time and chance, hears what the process did, and says what to do.
+// Package supervisor decides when the process of an instance is started, asked to terminate or killed, and when the instance is in a
+// crash loop. It does no I/O: its caller passes in the time and the seed for random delays, reports what the process did, and carries
+// out the actions.
 package supervisor
 
 import (
@@ -8,162 +9,170 @@
 	"hatchproxy/logic"
 )
 
-// State is what an instance is at.
+// State is the state of an instance.
 type State string
 
 const (
 	Stopped      State = "stopped"
-	Starting     State = "starting"
+	Starting     State = "starting" // its process runs and is not ready yet
 	Ready        State = "ready"
-	BackingOff   State = "waiting" // for its next start
-	CrashLooping State = "crash-loop"
-	Leaving      State = "leaving"
+	BackingOff   State = "waiting"    // between a failure and the next start
+	CrashLooping State = "crash-loop" // the same, after several failures in a row
+	Leaving      State = "leaving"    // its process was asked to terminate and still runs
 )
 
-// Action is what is to be done now.
+// Action is what the caller has to do now.
 type Action uint8
 
 const (
 	NoAction Action = iota
 	Start
-	Terminate // ask it to go
+	Terminate // ask the process to terminate
 	Kill
 )
 
 const (
-	// firstRestartDelay and longest are the waits before a start anew, doubling; a third of each is left to chance so that thirty
-	// that fell together do not come back together.
+	// firstRestartDelay and maxRestartDelay bound the delay before an instance is started again; it doubles with each failure. Up to a
+	// third of it is subtracted at random, so that instances that failed together do not start together.
 	firstRestartDelay = 250 * logic.Millisecond
 	maxRestartDelay   = 15 * logic.Second
-	// failureResetTime is how long an instance must have been ready for its falls before to be forgotten.
+	// failureResetTime is how long an instance must have been ready for its earlier failures to be forgotten.
 	failureResetTime = 20 * logic.Second
-	// crashLoopFailures is after how many falls in a row it is a crash loop, and rest how long is waited then between two starts.
+	// crashLoopFailures is the number of failures in a row that make a crash loop, and crashLoopDelay the delay between starts in one.
 	crashLoopFailures = 5
 	crashLoopDelay    = logic.Second * 60
-	// startTimeout is how long a start may take until it is ready: the list may be late. One that takes longer has fallen.
+	// startTimeout is how long an instance may take from its start until it is ready, which includes waiting for the list of servers.
+	// One that takes longer is killed, and has failed.
 	startTimeout = 20 * logic.Second
-	// stopTimeout is how long one that was asked to go may take: the longest hard limit and what standing clients need.
+	// stopTimeout is how long an instance may take to terminate: the longest hard limit and the time to move its clients.
 	stopTimeout = 8 * logic.Second
 )
 
-// Supervisor keeps one instance. Its zero value has it stopped; NewKeeper gives it chance.
+// Supervisor supervises one instance. New returns one that is ready for use.
 type Supervisor struct {
 	rng           *rand.Rand
 	state         State
 	stateSince    logic.Micros
-	nextStart     logic.Micros // its next start
-	failures      int
-	reason        string
+	nextStart     logic.Micros // the earliest time of the next start
+	failures      int          // in a row
+	reason        string       // why it failed last
 	shouldRun     bool
-	restartDone   uint64 // the restart that it has done
-	restartWanted uint64 // the one that is wanted
-	hasProcess    bool   // a process is there
-	starts        int
+	restartDone   uint64 // the number of the last restart command that was carried out
+	restartWanted uint64 // the number of the last restart command
+	hasProcess    bool   // a process runs
+	starts        int    // how often a process was started or adopted
 }
 
-// New makes a keeper of an instance that does not run.
+// New returns a supervisor of an instance that does not run. The seed determines its random delays.
 func New(seed int64) *Supervisor {
 	return &Supervisor{rng: rand.New(rand.NewSource(seed)), state: Stopped}
 }
 
-// SetDesired tells whether it is to run, and the number of the last restart.
-func (k *Supervisor) SetDesired(now logic.Micros, run bool, restart uint64) {
-	if run && !k.shouldRun {
-		k.failures, k.nextStart = 0, now
+// SetDesired sets whether the instance should run, and the number of the last restart command.
+func (s *Supervisor) SetDesired(now logic.Micros, run bool, restart uint64) {
+	if run && !s.shouldRun {
+		s.failures, s.nextStart = 0, now
 	}
-	if run && k.state == CrashLooping && restart > k.restartWanted {
-		k.failures, k.nextStart = 0, now // an operator says try again
+	if run && s.state == CrashLooping && restart > s.restartWanted {
+		s.failures, s.nextStart = 0, now // an operator asked for another attempt
 	}
-	k.shouldRun, k.restartWanted = run, max(k.restartWanted, restart)
-	if !k.hasProcess && k.starts == 0 {
-		k.restartDone = k.restartWanted // its first start does for all that were wanted before
+	s.shouldRun, s.restartWanted = run, max(s.restartWanted, restart)
+	if !s.hasProcess && s.starts == 0 {
+		s.restartDone = s.restartWanted // the first start fulfills all earlier restart commands
 	}
 }
 
-// Adopt tells that a process of it was there already, and how far it was.
-func (k *Supervisor) Adopt(now logic.Micros, restart uint64, ready bool) {
-	k.hasProcess, k.starts, k.restartDone, k.restartWanted = true, 1, restart, max(k.restartWanted, restart)
-	k.setState(now, Starting)
+// Adopt reports that a process of the instance runs already, the restart command that it was started for, and whether it is ready.
+func (s *Supervisor) Adopt(now logic.Micros, restart uint64, ready bool) {
+	s.hasProcess, s.starts, s.restartDone, s.restartWanted = true, 1, restart, max(s.restartWanted, restart)
+	s.setState(now, Starting)
 	if ready {
-		k.setState(now, Ready)
+		s.setState(now, Ready)
 	}
 }
 
-func (k *Supervisor) setState(now logic.Micros, s State) { k.state, k.stateSince = s, now }
+// setState changes the state.
+func (s *Supervisor) setState(now logic.Micros, state State) { s.state, s.stateSince = state, now }
 
-// ReportStarted tells that a process was started; Failed that none could be.
-func (k *Supervisor) ReportStarted(now logic.Micros) {
-	k.hasProcess, k.starts, k.restartDone = true, k.starts+1, k.restartWanted
-	k.setState(now, Starting)
+// ReportStarted reports that a process was started.
+func (s *Supervisor) ReportStarted(now logic.Micros) {
+	s.hasProcess, s.starts, s.restartDone = true, s.starts+1, s.restartWanted
+	s.setState(now, Starting)
 }
 
-func (k *Supervisor) ReportStartFailure(now logic.Micros, why string) { k.recordFailure(now, why) }
+// ReportStartFailure reports that no process could be started.
+func (s *Supervisor) ReportStartFailure(now logic.Micros, reason string) {
+	s.recordFailure(now, reason)
+}
 
-// ReportReady tells that it is ready.
-func (k *Supervisor) ReportReady(now logic.Micros) {
-	if k.state == Starting {
-		k.setState(now, Ready)
+// ReportReady reports that the instance is ready. It is called repeatedly while that is so.
+func (s *Supervisor) ReportReady(now logic.Micros) {
+	if s.state == Starting {
+		s.setState(now, Ready)
 	}
-	if k.state == Ready && now-k.stateSince >= failureResetTime {
-		k.failures = 0
+	if s.state == Ready && now-s.stateSince >= failureResetTime {
+		s.failures = 0
 	}
 }
 
-// ReportExit tells that its process has.
-func (k *Supervisor) ReportExit(now logic.Micros, why string) {
-	k.hasProcess = false
-	if k.state == Leaving {
-		k.setState(now, Stopped)
-		k.nextStart = now
+// ReportExit reports that the process has ended. That is a failure unless it had been asked to terminate.
+func (s *Supervisor) ReportExit(now logic.Micros, reason string) {
+	s.hasProcess = false
+	if s.state == Leaving {
+		s.setState(now, Stopped)
+		s.nextStart = now
 		return
 	}
-	if k.state == Ready && now-k.stateSince >= failureResetTime {
-		k.failures = 0
+	if s.state == Ready && now-s.stateSince >= failureResetTime {
+		s.failures = 0
 	}
-	k.recordFailure(now, why)
+	s.recordFailure(now, reason)
 }
 
-func (k *Supervisor) recordFailure(now logic.Micros, why string) {
-	k.failures, k.reason = k.failures+1, why
-	wait := min(firstRestartDelay<<min(k.failures-1, 10), maxRestartDelay)
+// recordFailure counts a failure and sets the time of the next start.
+func (s *Supervisor) recordFailure(now logic.Micros, reason string) {
+	s.failures, s.reason = s.failures+1, reason
+	wait := min(firstRestartDelay<<min(s.failures-1, 10), maxRestartDelay)
 	state := BackingOff
-	if k.failures >= crashLoopFailures {
+	if s.failures >= crashLoopFailures {
 		wait, state = crashLoopDelay, CrashLooping
 	}
-	k.nextStart = now + wait - logic.Micros(k.rng.Int63n(int64(wait)/3))
-	k.setState(now, state)
+	s.nextStart = now + wait - logic.Micros(s.rng.Int63n(int64(wait)/3))
+	s.setState(now, state)
 }
 
-// NextAction says what to do now, and when to ask again at the latest.
-func (k *Supervisor) NextAction(now logic.Micros) (Action, logic.Micros) {
-	const soon = 100 * logic.Millisecond
+// NextAction returns what to do now, and after what time to call it again at the latest.
+func (s *Supervisor) NextAction(now logic.Micros) (Action, logic.Micros) {
+	const interval = 100 * logic.Millisecond
 	switch {
-	case k.hasProcess && k.state == Leaving:
-		if now-k.stateSince >= stopTimeout {
-			return Kill, soon
+	case s.hasProcess && s.state == Leaving:
+		if now-s.stateSince >= stopTimeout {
+			return Kill, interval
 		}
-		return NoAction, min(soon, stopTimeout)
-	case k.hasProcess && (!k.shouldRun || k.restartDone < k.restartWanted):
-		k.setState(now, Leaving)
-		return Terminate, soon
-	case k.hasProcess && k.state == Starting && now-k.stateSince >= startTimeout:
-		k.reason = "it was not ready in time"
-		return Kill, soon
-	case k.hasProcess:
-		return NoAction, soon
-	case !k.shouldRun:
-		if k.state != Stopped {
-			k.setState(now, Stopped)
+		return NoAction, min(interval, stopTimeout)
+	case s.hasProcess && (!s.shouldRun || s.restartDone < s.restartWanted):
+		s.setState(now, Leaving)
+		return Terminate, interval
+	case s.hasProcess && s.state == Starting && now-s.stateSince >= startTimeout:
+		s.reason = "it was not ready in time"
+		return Kill, interval
+	case s.hasProcess:
+		return NoAction, interval
+	case !s.shouldRun:
+		if s.state != Stopped {
+			s.setState(now, Stopped)
 		}
-		return NoAction, soon
-	case now >= k.nextStart:
-		return Start, soon
+		return NoAction, interval
+	case now >= s.nextStart:
+		return Start, interval
 	}
-	return NoAction, min(soon, k.nextStart-now)
+	return NoAction, min(interval, s.nextStart-now)
 }
 
-// State tells what it is at, how often it has fallen in a row, and why it did last.
-func (k *Supervisor) State() (s State, falls int, why string) { return k.state, k.failures, k.reason }
+// State returns the state, the number of failures in a row, and the reason of the last one.
+func (s *Supervisor) State() (state State, failures int, reason string) {
+	return s.state, s.failures, s.reason
+}
 
-// LastRestart is the number of the last restart that was done.
-func (k *Supervisor) LastRestart() uint64 { return k.restartDone }
+// LastRestart returns the number of the last restart command that was carried out.
+func (s *Supervisor) LastRestart() uint64 { return s.restartDone }
--- a/agent/transport.go
+++ b/agent/transport.go
@@ -8,81 +8,84 @@
 	"github.com/hashicorp/raft"
 )
 
-// guardedTransport is how a log speaks with the others. While it is held, it votes only for who holds as much as it is told, in a newer
-// term, and asks nobody for a vote; what a leader says it hears as ever.
+// guardedTransport carries raft's messages to and from the other agents. While votes are restricted, it denies the vote to every
+// candidate whose log is older than a given one or whose term is not newer, and it asks nobody for a vote; messages from a leader pass
+// as usual. An agent that may have forgotten how it voted, or entries that it had acknowledged, needs this (bootstrap.go).
 type guardedTransport struct {
 	*raft.NetworkTransport
-	rpcs chan raft.RPC
+	rpcs chan raft.RPC // those that pass the filter
 
 	mu              sync.Mutex
-	minCandidateLog *logStatus // nil: free
+	minCandidateLog *logStatus // what a candidate's log must have at least; nil if votes are not restricted
 }
 
-// newGuardedTransport makes one that votes for nobody until it is told more.
-func newGuardedTransport(t *raft.NetworkTransport) *guardedTransport {
-	v := &guardedTransport{NetworkTransport: t, rpcs: make(chan raft.RPC), minCandidateLog: &logStatus{Term: math.MaxUint64}}
+// newGuardedTransport wraps a transport. It denies every vote until restrictVotes is called.
+func newGuardedTransport(transport *raft.NetworkTransport) *guardedTransport {
+	g := &guardedTransport{NetworkTransport: transport, rpcs: make(chan raft.RPC), minCandidateLog: &logStatus{Term: math.MaxUint64}}
 	go func() {
-		for call := range t.Consumer() { // never closed: it ends with the program
-			v.filter(call)
+		for rpc := range transport.Consumer() { // never closed: the goroutine ends with the program
+			g.filter(rpc)
 		}
 	}()
-	return v
+	return g
 }
 
-// restrictVotes says what a candidate must hold; nil lets the log vote as it would.
-func (v *guardedTransport) restrictVotes(least *logStatus) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.minCandidateLog = least
+// restrictVotes sets what a candidate's log must have to get a vote; nil lifts the restriction.
+func (g *guardedTransport) restrictVotes(minimum *logStatus) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.minCandidateLog = minimum
 }
 
-// mayVoteFor tells whether a candidate may have a vote.
-func (v *guardedTransport) mayVoteFor(term, entry, last uint64) bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.minCandidateLog == nil || term > v.minCandidateLog.Term && !(logStatus{LastTerm: entry, LastIndex: last}).isOlderThan(*v.minCandidateLog)
+// mayVoteFor reports whether a candidate may get the vote, given its term and the term and index of its last log entry.
+func (g *guardedTransport) mayVoteFor(term, lastTerm, lastIndex uint64) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.minCandidateLog == nil || term > g.minCandidateLog.Term && !(logStatus{LastTerm: lastTerm, LastIndex: lastIndex}).isOlderThan(*g.minCandidateLog)
 }
 
-func (v *guardedTransport) filter(call raft.RPC) {
-	switch c := call.Command.(type) {
+// filter denies vote requests that are not allowed and passes all other messages on to raft.
+func (g *guardedTransport) filter(rpc raft.RPC) {
+	switch request := rpc.Command.(type) {
 	case *raft.RequestVoteRequest:
-		if !v.mayVoteFor(c.Term, c.LastLogTerm, c.LastLogIndex) {
-			call.Respond(&raft.RequestVoteResponse{RPCHeader: c.RPCHeader, Term: c.Term}, nil)
+		if !g.mayVoteFor(request.Term, request.LastLogTerm, request.LastLogIndex) {
+			rpc.Respond(&raft.RequestVoteResponse{RPCHeader: request.RPCHeader, Term: request.Term}, nil)
 			return
 		}
 	case *raft.RequestPreVoteRequest:
-		if !v.mayVoteFor(c.Term, c.LastLogTerm, c.LastLogIndex) {
-			call.Respond(&raft.RequestPreVoteResponse{RPCHeader: c.RPCHeader, Term: c.Term}, nil)
+		if !g.mayVoteFor(request.Term, request.LastLogTerm, request.LastLogIndex) {
+			rpc.Respond(&raft.RequestPreVoteResponse{RPCHeader: request.RPCHeader, Term: request.Term}, nil)
 			return
 		}
 	}
-	v.rpcs <- call
+	g.rpcs <- rpc
 }
 
-// Consumer is where the log hears the others.
-func (v *guardedTransport) Consumer() <-chan raft.RPC { return v.rpcs }
+// Consumer returns the channel from which raft receives messages.
+func (g *guardedTransport) Consumer() <-chan raft.RPC { return g.rpcs }
 
-// errVotesRestricted is why nobody is asked for a vote.
-var errVotesRestricted = errors.New("this agent does not stand: it may have forgotten what others hold")
+// errVotesRestricted is returned instead of asking for a vote.
+var errVotesRestricted = errors.New("this agent is no candidate yet: its log may lack entries that others have")
 
-func (v *guardedTransport) isRestricted() bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.minCandidateLog != nil
+// isRestricted reports whether votes are restricted.
+func (g *guardedTransport) isRestricted() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.minCandidateLog != nil
 }
 
-// RequestVote asks another for its vote.
-func (v *guardedTransport) RequestVote(id raft.ServerID, at raft.ServerAddress, ask *raft.RequestVoteRequest, answer *raft.RequestVoteResponse) error {
-	if v.isRestricted() {
+// RequestVote asks another agent for its vote, unless votes are restricted.
+func (g *guardedTransport) RequestVote(id raft.ServerID, address raft.ServerAddress, request *raft.RequestVoteRequest, response *raft.RequestVoteResponse) error {
+	if g.isRestricted() {
 		return errVotesRestricted
 	}
-	return v.NetworkTransport.RequestVote(id, at, ask, answer)
+	return g.NetworkTransport.RequestVote(id, address, request, response)
 }
 
-// RequestPreVote asks another whether it would.
-func (v *guardedTransport) RequestPreVote(id raft.ServerID, at raft.ServerAddress, ask *raft.RequestPreVoteRequest, answer *raft.RequestPreVoteResponse) error {
-	if v.isRestricted() {
+// RequestPreVote asks another agent whether it would vote for this one, unless votes are restricted.
+func (g *guardedTransport) RequestPreVote(id raft.ServerID, address raft.ServerAddress, request *raft.RequestPreVoteRequest, response *raft.RequestPreVoteResponse) error {
+	if g.isRestricted() {
 		return errVotesRestricted
 	}
-	return v.NetworkTransport.RequestPreVote(id, at, ask, answer)
+	return g.NetworkTransport.RequestPreVote(id, address, request, response)
 }
