--- a/agent/clusterstate/duties.go
+++ b/agent/clusterstate/duties.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// maxDuties bounds the duties that are remembered, mostBarred who may hold none, mostRolls the rolling restarts.
+	// maxDuties, maxBarred and maxRollingRestarts limit how many of each the state holds. The oldest rolling restarts are dropped first;
+	// further duties and barred holders are rejected.
 	maxDuties          = 4096
 	maxBarred          = 4096
 	maxRollingRestarts = 20
@@ -17,18 +18,18 @@
 
 // Verbs about duties and rolling restarts.
 const (
-	Grant    Verb = "grant"   // Duty goes to Holder; Token is the one that it replaces
-	Transfer Verb = "hand-on" // Duty is to go to Holder, or to any other if that is missing
-	Bar      Verb = "bar"     // Holder is given no duty
-	Unbar    Verb = "unbar"   //
-	Roll     Verb = "roll"    // Instances are started anew, a Share at a time
-	Step     Verb = "step"    // the next part of the roll Of is started anew; Step counts them from 0
-	Pause    Verb = "pause"   // the roll Of
-	Resume   Verb = "go-on"   //
-	Abort    Verb = "abort"   //
+	Grant    Verb = "grant"   // Duty goes to Holder; Token is the token that the grant replaces
+	Transfer Verb = "hand-on" // Duty should go to Holder, or to any other candidate if there is no Holder
+	Bar      Verb = "bar"     // Holder is granted no duty
+	Unbar    Verb = "unbar"   // ends a bar
+	Roll     Verb = "roll"    // starts a rolling restart of Instances, a Share of them at a time
+	Step     Verb = "step"    // restarts the next instances of a rolling restart; Step counts the steps from 0
+	Pause    Verb = "pause"   // stops a rolling restart until it is resumed
+	Resume   Verb = "go-on"   // ends a pause
+	Abort    Verb = "abort"   // ends a rolling restart; the steps so far are not undone
 )
 
-// RollingRestartState is how far a roll is.
+// RollingRestartState is the state of a rolling restart.
 type RollingRestartState string
 
 const (
@@ -38,19 +39,21 @@
 	Done    RollingRestartState = "done"
 )
 
-// RollingRestart is a rolling restart: what is wanted, and how far it is. Whoever conducts goes on from here.
+// RollingRestart is a rolling restart and its progress. The agent that holds the duty of the conductor carries it out, and another one
+// can continue from here.
 type RollingRestart struct {
 	ID             string              `json:"id"`
-	Number         uint64              `json:"number"`
+	Number         uint64              `json:"number"` // of the command that started it
 	Instances      []string            `json:"instances"`
-	Share          float64             `json:"share"`
-	StepsStarted   int                 `json:"steps"`         // that were begun
-	LastStepNumber uint64              `json:"last"`          // the number of the last of these
-	State          RollingRestartState `json:"state"`         //
-	Reason         string              `json:"why,omitempty"` // of a pause
+	Share          float64             `json:"share"` // of the instances, restarted by one step
+	StepsStarted   int                 `json:"steps"` // how many steps were started
+	LastStepNumber uint64              `json:"last"`  // the number of the command that started the last step
+	State          RollingRestartState `json:"state"`
+	Reason         string              `json:"why,omitempty"` // why it was paused
 }
 
-// StepInstances is what a step starts anew, counted from 0; nothing before the first and after the last one.
+// StepInstances returns the instances that a step restarts. Steps count from 0; there are no instances before the first and after the
+// last step.
 func (r *RollingRestart) StepInstances(step int) []string {
 	if step < 0 {
 		return nil
@@ -60,22 +63,23 @@
 	return r.Instances[from:min(from+size, len(r.Instances))]
 }
 
-// validateDutyCommand tells what is wrong with a command of these verbs; known tells whether it is one.
+// validateDutyCommand returns an error if a command about duties or rolling restarts is malformed. It returns known = false for the
+// other verbs.
 func validateDutyCommand(c Command) (known bool, err error) {
-	named := func(what, s string, needed bool) {
-		if (needed && s == "" || len(s) > maxNameBytes) && err == nil {
+	checkName := func(what, name string, needed bool) {
+		if (needed && name == "" || len(name) > maxNameBytes) && err == nil {
 			err = fmt.Errorf("%s needs %s, of %d bytes at most", c.Verb, what, maxNameBytes)
 		}
 	}
 	switch c.Verb {
 	case Grant:
-		named("a duty", c.Duty, true)
-		named("a holder", c.Holder, true)
+		checkName("a duty", c.Duty, true)
+		checkName("a holder", c.Holder, true)
 	case Transfer:
-		named("a duty", c.Duty, true)
-		named("a holder", c.Holder, false)
+		checkName("a duty", c.Duty, true)
+		checkName("a holder", c.Holder, false)
 	case Bar, Unbar:
-		named("a holder", c.Holder, true)
+		checkName("a holder", c.Holder, true)
 	case Roll:
 		if !(c.Share > 0 && c.Share <= 1) {
 			err = fmt.Errorf("roll: the share %g is not between 0 and 1", c.Share)
@@ -84,14 +88,15 @@
 			err = validateInstances(c)
 		}
 	case Step, Pause, Resume, Abort:
-		named("a roll", c.RollingRestartID, true)
+		checkName("a roll", c.RollingRestartID, true)
 	default:
 		return false, nil
 	}
 	return true, err
 }
 
-// checkToken tells why an effect of a duty is refused: its token is not the newest, whatever its holder believes.
+// checkToken returns an error if a command was issued under a duty with a token that is no longer the newest: its author has lost the
+// duty, even if it doesn't know yet.
 func (s *State) checkToken(c Command) error {
 	if c.Duty == "" || c.Verb == Grant || c.Verb == Transfer {
 		return nil
@@ -102,17 +107,17 @@
 	return nil
 }
 
-// applyDutyCommand takes a command of these verbs.
+// applyDutyCommand applies a command about duties or rolling restarts.
 func (s *State) applyDutyCommand(number uint64, c Command) error {
 	if s.Duties == nil {
 		s.Duties, s.Barred = map[string]lease.Grant{}, map[string]bool{}
 	}
-	d, known := s.Duties[c.Duty]
+	grant, known := s.Duties[c.Duty]
 	switch c.Verb {
 	case Grant:
-		// Guards against two agents that both believe that they lead: only one replaces what both have seen.
-		if d.Token != c.Token {
-			return fmt.Errorf("the duty %s is held by token %d, and not by %d any more", c.Duty, d.Token, c.Token)
+		// Two agents may both believe that they lead. Of their grants that replace the same token, only the first is applied.
+		if grant.Token != c.Token {
+			return fmt.Errorf("the duty %s is held by token %d, and not by %d any more", c.Duty, grant.Token, c.Token)
 		}
 		if !known && len(s.Duties) >= maxDuties {
 			return fmt.Errorf("%d duties are known already", maxDuties)
@@ -122,13 +127,13 @@
 		if !known {
 			return fmt.Errorf("nobody has held the duty %s yet", c.Duty)
 		}
-		if d.TransferTo = c.Holder; d.TransferTo == "" {
-			d.TransferTo = "*"
+		if grant.TransferTo = c.Holder; grant.TransferTo == "" {
+			grant.TransferTo = "*"
 		}
-		if d.TransferTo == d.Holder {
-			return fmt.Errorf("%s holds the duty %s already", d.Holder, c.Duty)
+		if grant.TransferTo == grant.Holder {
+			return fmt.Errorf("%s holds the duty %s already", grant.Holder, c.Duty)
 		}
-		s.Duties[c.Duty] = d
+		s.Duties[c.Duty] = grant
 	case Bar:
 		if len(s.Barred) >= maxBarred {
 			return fmt.Errorf("%d are barred already", maxBarred)
@@ -147,13 +152,13 @@
 	return nil
 }
 
-// applyRollingRestartCommand takes a command about a rolling restart.
+// applyRollingRestartCommand applies a command about an existing rolling restart.
 func (s *State) applyRollingRestartCommand(number uint64, c Command) error {
 	i := slices.IndexFunc(s.RollingRestarts, func(r RollingRestart) bool { return r.ID == c.RollingRestartID })
 	if i < 0 {
 		return fmt.Errorf("no rolling restart is called %.40q", c.RollingRestartID)
 	}
-	s.RollingRestarts = slices.Clone(s.RollingRestarts) // readers may hold the old ones
+	s.RollingRestarts = slices.Clone(s.RollingRestarts) // readers may still use the old slice
 	r := &s.RollingRestarts[i]
 	if r.State == Done || r.State == Aborted {
 		return fmt.Errorf("the rolling restart %.40q is %s", c.RollingRestartID, r.State)
@@ -172,18 +177,18 @@
 		if c.Step != r.StepsStarted {
 			return fmt.Errorf("the rolling restart %.40q has begun %d steps, and this is number %d", c.RollingRestartID, r.StepsStarted, c.Step)
 		}
-		part := r.StepInstances(c.Step)
-		if len(part) == 0 {
+		instances := r.StepInstances(c.Step)
+		if len(instances) == 0 {
 			r.State = Done
 			break
 		}
-		s.updateInstances(number, Restart, part)
+		s.updateInstances(number, Restart, instances)
 		r.StepsStarted, r.LastStepNumber = r.StepsStarted+1, number
 	}
 	return nil
 }
 
-// CopyDuties are copies of what stands about duties, for who leads.
+// CopyDuties returns copies of the duties and of the barred holders.
 func (s *State) CopyDuties() (map[string]lease.Grant, map[string]bool) {
 	return maps.Clone(s.Duties), maps.Clone(s.Barred)
 }
--- a/agent/clusterstate/state.go
+++ b/agent/clusterstate/state.go
@@ -1,5 +1,6 @@
-// Package wanted is the state that agents agree on: which orders stand, and which instances are to run. It is free of
-// I/O; a log of commands, applied in the same order everywhere, leads to the same state everywhere.
+// Package clusterstate is the state that the agents replicate: which orders are in effect, which instances should run, who holds which
+// duty, and how far rolling restarts are. It does no I/O. The state changes only by commands of a log; agents that apply the same
+// commands in the same order have the same state.
 package clusterstate
 
 import (
@@ -14,73 +15,74 @@
 	"hatchproxy/orders"
 )
 
-// Verb is what a command wants.
+// Verb is what a command does.
 type Verb string
 
+// Verbs about servers and instances.
 const (
-	Drain   Verb = "drain"
-	Undrain Verb = "undrain"
-	Start   Verb = "start"
-	Stop    Verb = "stop"
-	Restart Verb = "restart"
+	Drain   Verb = "drain"   // the instances send nothing new to Server
+	Undrain Verb = "undrain" // ends a drain
+	Start   Verb = "start"   // Instances should run
+	Stop    Verb = "stop"    // Instances should not run
+	Restart Verb = "restart" // Instances should run, and be restarted once
 )
 
-// Command is what an operator says. The id is the operator's own: one said twice counts once.
+// Command is a command of an operator or an agent. Its author chooses the ID; a command that is submitted again with the same ID is
+// applied once.
 type Command struct {
 	ID          string       `json:"id"`
 	Verb        Verb         `json:"verb"`
-	Server      string       `json:"server,omitempty"`    // of drain and undrain
-	Instances   []string     `json:"instances,omitempty"` // of start, stop and restart
-	ExpiresAt   logic.Micros `json:"until,omitempty"`
-	ServerStart logic.Micros `json:"launch,omitempty"`
-	IssuedAt    logic.Micros `json:"said"` // Unix time
-
-	Duty             string  `json:"duty,omitempty"`  // whose effect it is, with the holder's token; or which it is about
-	Token            uint64  `json:"token,omitempty"` //
-	Term             uint64  `json:"term,omitempty"`  // of a grant: that in which its author found the duty free
-	Holder           string  `json:"holder,omitempty"`
-	RollingRestartID string  `json:"of,omitempty"` // a rolling restart's id
-	Step             int     `json:"step,omitempty"`
-	Share            float64 `json:"share,omitempty"`
-	Reason           string  `json:"why,omitempty"`
+	Server      string       `json:"server,omitempty"`    // for drain and undrain
+	Instances   []string     `json:"instances,omitempty"` // for start, stop, restart and roll
+	ExpiresAt   logic.Micros `json:"until,omitempty"`     // when an order ends, in Unix time; 0 for never
+	ServerStart logic.Micros `json:"launch,omitempty"`    // as in orders.Order
+	IssuedAt    logic.Micros `json:"said"`                // Unix time at which the command was issued
+
+	Duty             string  `json:"duty,omitempty"`   // the duty that the command is about, or under which an agent issued it
+	Token            uint64  `json:"token,omitempty"`  // the token that the author of the command holds, or that a grant replaces
+	Term             uint64  `json:"term,omitempty"`   // for a grant: the term in which its author found the duty free
+	Holder           string  `json:"holder,omitempty"` // for the verbs about duties
+	RollingRestartID string  `json:"of,omitempty"`     // for step, pause, go-on and abort
+	Step             int     `json:"step,omitempty"`   // for step: counted from 0
+	Share            float64 `json:"share,omitempty"`  // for roll: the share of the instances that one step restarts, above 0 and up to 1
+	Reason           string  `json:"why,omitempty"`    // for grant and pause
 }
 
-// Entry is a command with its place in the log.
+// Entry is a command with its number, which is its index in the log.
 type Entry struct {
 	Number uint64 `json:"number"`
 	Command
 }
 
-// InstanceSpec is what an instance is to do.
+// InstanceSpec is the desired state of an instance.
 type InstanceSpec struct {
 	Run         bool   `json:"run"`
-	LastRestart uint64 `json:"restart"` // the number of the last command that had it start anew
-	LastCommand uint64 `json:"number"`  // of the last command on it
+	LastRestart uint64 `json:"restart"` // the number of the last command that restarts it
+	LastCommand uint64 `json:"number"`  // the number of the last command about it
 }
 
-// State is what was agreed. The zero value is ready for use.
+// State is the replicated state. The zero value is ready for use.
 type State struct {
-	AppliedIndex   uint64                  `json:"applied"` // the number of the last command
-	Orders         map[string]Entry        `json:"orders"`  // the newest on each server
-	Instances      map[string]InstanceSpec `json:"wishes"`
-	RecentCommands []Entry                 `json:"past"` // the last ones, oldest first; grants are not among them
+	AppliedIndex   uint64                  `json:"applied"` // the number of the last command that was applied
+	Orders         map[string]Entry        `json:"orders"`  // by server: the newest order
+	Instances      map[string]InstanceSpec `json:"wishes"`  // by instance
+	RecentCommands []Entry                 `json:"past"`    // oldest first, without grants
 
 	Duties          map[string]lease.Grant `json:"duties,omitempty"`
-	Barred          map[string]bool        `json:"barred,omitempty"` // who is given no duty
-	RollingRestarts []RollingRestart       `json:"rolls,omitempty"`  // the last ones, oldest first
+	Barred          map[string]bool        `json:"barred,omitempty"` // holders that are granted no duty
+	RollingRestarts []RollingRestart       `json:"rolls,omitempty"`  // the most recent ones, oldest first
 }
 
 const (
-	// maxRecentCommands is how many commands are remembered: for `orders`, and so that one said twice is known.
+	// maxRecentCommands is how many commands are kept, for the command `orders` and to recognize commands that are submitted again.
 	maxRecentCommands = 500
-	// maxOrders bounds the servers with an order; undrained ones that are older than all that is remembered are
-	// forgotten first.
+	// maxOrders is the maximum number of servers with an order. If there are as many, a new one replaces the oldest undrain order.
 	maxOrders              = 4096
 	maxNameBytes           = 200
-	maxInstancesPerCommand = 4096 // a fleet several times the largest that was played
+	maxInstancesPerCommand = 4096 // several times the largest fleet that was tested
 )
 
-// Validate tells what is wrong with a command.
+// Validate returns an error if a command is malformed.
 func Validate(c Command) error {
 	switch {
 	case c.ID == "" || len(c.ID) > maxNameBytes:
@@ -100,6 +102,7 @@
 	return nil
 }
 
+// validateInstances checks the names of a command's instances.
 func validateInstances(c Command) error {
 	if len(c.Instances) == 0 || len(c.Instances) > maxInstancesPerCommand || c.Server != "" {
 		return fmt.Errorf("%s takes instances, %d at most, and no server", c.Verb, maxInstancesPerCommand)
@@ -112,8 +115,8 @@
 	return nil
 }
 
-// Apply takes the command at a place of the log, and returns the number by which it is known: an earlier one where
-// its id has been heard before. A command that is wrong changes nothing.
+// Apply applies the command at an index of the log and returns its number: the index, or the number of an earlier command with the same
+// ID. A command that fails changes nothing but AppliedIndex.
 func (s *State) Apply(number uint64, c Command) (uint64, error) {
 	if number <= s.AppliedIndex {
 		return 0, fmt.Errorf("number %d comes after %d", number, s.AppliedIndex)
@@ -155,18 +158,20 @@
 	return number, nil
 }
 
+// updateInstances applies the verb start, stop or restart.
 func (s *State) updateInstances(number uint64, verb Verb, instances []string) {
 	for _, name := range instances {
-		w := s.Instances[name]
-		w.Run, w.LastCommand = verb != Stop, number
+		spec := s.Instances[name]
+		spec.Run, spec.LastCommand = verb != Stop, number
 		if verb == Restart {
-			w.LastRestart = number
+			spec.LastRestart = number
 		}
-		s.Instances[name] = w
+		s.Instances[name] = spec
 	}
 }
 
-// dropOldestUndrain takes the oldest undrain away; instances that never heard of the server need none.
+// dropOldestUndrain removes the oldest undrain order and reports whether there was one. An instance that has no order for a server
+// treats it as not drained anyway.
 func (s *State) dropOldestUndrain() bool {
 	oldest := ""
 	for server, e := range s.Orders {
@@ -178,55 +183,57 @@
 	return oldest != ""
 }
 
-// OrdersForTerm are the orders for an instance, in an author's term, oldest first.
+// OrdersForTerm returns the orders to send to instances, oldest first, with the term of the agent that sends them.
 func (s *State) OrdersForTerm(term uint64) []orders.Order {
-	told := make([]orders.Order, 0, len(s.Orders))
+	list := make([]orders.Order, 0, len(s.Orders))
 	for _, e := range s.Orders {
-		told = append(told, orders.Order{ID: e.ID, Term: term, Number: e.Number, Verb: orders.Verb(e.Verb), ServerUID: e.Server, ExpiresAt: e.ExpiresAt, ServerStart: e.ServerStart})
+		list = append(list, orders.Order{ID: e.ID, Term: term, Number: e.Number, Verb: orders.Verb(e.Verb), ServerUID: e.Server, ExpiresAt: e.ExpiresAt, ServerStart: e.ServerStart})
 	}
-	slices.SortFunc(told, func(a, b orders.Order) int { return cmp.Compare(a.Number, b.Number) })
-	return told
+	slices.SortFunc(list, func(a, b orders.Order) int { return cmp.Compare(a.Number, b.Number) })
+	return list
 }
 
-// InstanceSpec tells whether an instance is to run: one of which nothing was said is.
+// InstanceSpec returns the desired state of an instance and whether it should run. An instance without a command should run.
 func (s *State) InstanceSpec(name string) (InstanceSpec, bool) {
-	w, said := s.Instances[name]
-	return w, !said || w.Run
+	spec, known := s.Instances[name]
+	return spec, !known || spec.Run
 }
 
-// formatVersion is the encoding's version.
+// formatVersion is the version of the encoding.
 const formatVersion = 1
 
+// savedState is the encoding of a state.
 type savedState struct {
 	FormatVersion int             `json:"form"`
-	Checksum      uint32          `json:"sum"`
+	Checksum      uint32          `json:"sum"` // CRC-32 of State
 	State         json.RawMessage `json:"state"`
 }
 
-// Encode encodes a state with its form and a sum.
+// Encode returns the state as JSON, with a format version and a checksum.
 func (s *State) Encode() ([]byte, error) {
-	text, err := json.Marshal(s)
+	data, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(savedState{formatVersion, crc32.ChecksumIEEE(text), text})
+	return json.Marshal(savedState{formatVersion, crc32.ChecksumIEEE(data), data})
 }
 
-// Decode reads what Save wrote; what is torn, changed or of another form is refused, and the state stays as it was.
-func (s *State) Decode(text []byte) error {
-	var found savedState
-	if err := json.Unmarshal(text, &found); err != nil {
-		return fmt.Errorf("the saved state is torn: %w", err)
+// Decode replaces the state with an encoded one. If the data is corrupt or of another format version, it returns an error and leaves
+// the state as it was.
+func (s *State) Decode(data []byte) error {
+	var saved savedState
+	if err := json.Unmarshal(data, &saved); err != nil {
+		return fmt.Errorf("the saved state is corrupt: %w", err)
 	}
-	if found.FormatVersion != formatVersion {
-		return fmt.Errorf("the saved state is of form %d, and %d is known", found.FormatVersion, formatVersion)
+	if saved.FormatVersion != formatVersion {
+		return fmt.Errorf("the saved state has format version %d; only version %d is supported", saved.FormatVersion, formatVersion)
 	}
-	if crc32.ChecksumIEEE(found.State) != found.Checksum {
-		return fmt.Errorf("the saved state was changed: its sum is wrong")
+	if crc32.ChecksumIEEE(saved.State) != saved.Checksum {
+		return fmt.Errorf("the saved state is corrupt: its checksum is wrong")
 	}
 	var next State
-	if err := json.Unmarshal(found.State, &next); err != nil {
-		return fmt.Errorf("the saved state: %w", err)
+	if err := json.Unmarshal(saved.State, &next); err != nil {
+		return fmt.Errorf("the saved state cannot be decoded: %w", err)
 	}
 	*s = next
 	return nil
--- a/agent/clusterstate/state_test.go
+++ b/agent/clusterstate/state_test.go
@@ -10,11 +10,12 @@
 	"hatchproxy/orders"
 )
 
+// drain returns a command to drain a server.
 func drain(id, server string) clusterstate.Command {
 	return clusterstate.Command{ID: id, Verb: clusterstate.Drain, Server: server}
 }
 
-func TestACommandSaidTwiceCountsOnce(t *testing.T) {
+func TestCommandSubmittedTwiceIsAppliedOnce(t *testing.T) {
 	var s clusterstate.State
 	n, err := s.Apply(3, drain("a", "s1"))
 	require.NoError(t, err)
@@ -23,15 +24,15 @@
 	require.NoError(t, err)
 	n, err = s.Apply(5, drain("a", "s1"))
 	require.NoError(t, err)
-	require.EqualValues(t, 3, n, "whoever says it again hears its number")
-	told := s.OrdersForTerm(9)
-	require.Len(t, told, 1)
-	require.Equal(t, orders.Order{ID: "b", Term: 9, Number: 4, Verb: orders.Undrain, ServerUID: "s1"}, told[0], "and undoes nothing that came after")
+	require.EqualValues(t, 3, n, "the second submission returns the first number")
+	list := s.OrdersForTerm(9)
+	require.Len(t, list, 1)
+	require.Equal(t, orders.Order{ID: "b", Term: 9, Number: 4, Verb: orders.Undrain, ServerUID: "s1"}, list[0], "the second submission does not override the later undrain")
 	_, err = s.Apply(5, drain("c", "s1"))
-	require.Error(t, err, "a place of the log is had once")
+	require.Error(t, err, "an index of the log is applied once")
 }
 
-func TestWhatIsWrongChangesNothing(t *testing.T) {
+func TestMalformedCommandChangesNothing(t *testing.T) {
 	var s clusterstate.State
 	for i, c := range []clusterstate.Command{
 		{}, {ID: "a"}, {ID: "a", Verb: "odd", Server: "s"}, {ID: "a", Verb: clusterstate.Drain}, {ID: "a", Verb: clusterstate.Drain, Server: "s", Instances: []string{"n"}},
@@ -44,7 +45,7 @@
 	require.Empty(t, s.OrdersForTerm(1))
 }
 
-func TestWhatWasSavedIsReadBackAndWhatIsTornOrNewerIsRefusedWhole(t *testing.T) {
+func TestEncodedStateIsDecodedAndCorruptOrNewerDataIsRejected(t *testing.T) {
 	var s clusterstate.State
 	for i := range 700 {
 		_, err := s.Apply(uint64(i+1), drain(fmt.Sprint("o", i), fmt.Sprint("s", i%40)))
@@ -52,30 +53,30 @@
 	}
 	_, err := s.Apply(701, clusterstate.Command{ID: "x", Verb: clusterstate.Restart, Instances: []string{"n1", "n2"}})
 	require.NoError(t, err)
-	require.Len(t, s.RecentCommands, 500, "the past is bounded")
-	text, err := s.Encode()
+	require.Len(t, s.RecentCommands, 500, "the number of recent commands is bounded")
+	data, err := s.Encode()
 	require.NoError(t, err)
-	var back clusterstate.State
-	require.NoError(t, back.Decode(text))
-	require.Equal(t, s, back)
-	for cut := range len(text) {
+	var decoded clusterstate.State
+	require.NoError(t, decoded.Decode(data))
+	require.Equal(t, s, decoded)
+	for cut := range len(data) {
 		if cut%97 == 0 {
-			require.Error(t, back.Decode(text[:cut]))
+			require.Error(t, decoded.Decode(data[:cut]))
 		}
 	}
-	changed := append([]byte{}, text...)
+	changed := append([]byte{}, data...)
 	for i := range changed {
 		if changed[i] == '4' && i > len(changed)/2 {
 			changed[i] = '5'
 			break
 		}
 	}
-	require.ErrorContains(t, back.Decode(changed), "its sum is wrong")
-	require.ErrorContains(t, back.Decode([]byte(`{"form":2,"sum":1,"state":{}}`)), "form 2, and 1 is known")
-	require.Equal(t, s, back, "and nothing was taken over")
+	require.ErrorContains(t, decoded.Decode(changed), "its checksum is wrong")
+	require.ErrorContains(t, decoded.Decode([]byte(`{"form":2,"sum":1,"state":{}}`)), "format version 2; only version 1 is supported")
+	require.Equal(t, s, decoded, "a failed Decode leaves the state unchanged")
 }
 
-func TestTheNumberOfServersWithOrdersIsBoundedAndUndrainedOnesMakeRoom(t *testing.T) {
+func TestNumberOfOrdersIsBoundedAndNewOnesReplaceUndrains(t *testing.T) {
 	var s clusterstate.State
 	for i := range 4096 {
 		_, err := s.Apply(uint64(i+1), drain(fmt.Sprint("o", i), fmt.Sprint("s", i)))
@@ -90,12 +91,12 @@
 	require.NotContains(t, s.Orders, "s7")
 }
 
-// A fleet of 350 processes and hundreds of servers was to be had, and 1,000 were the most that a command could name.
-func TestAFleetOfElevenHundredIsNamedAndHoldsDuties(t *testing.T) {
+// A command could name only 1,000 instances, too few for the fleets that have to be supported.
+func TestCommandsScaleToElevenHundredInstances(t *testing.T) {
 	var s clusterstate.State
 	var names []string
 	number := uint64(0)
-	obey := func(c clusterstate.Command) {
+	apply := func(c clusterstate.Command) {
 		number++
 		c.ID = fmt.Sprint("c", number)
 		require.NoError(t, clusterstate.Validate(c))
@@ -105,14 +106,14 @@
 	for i := range 1100 {
 		names = append(names, fmt.Sprintf("edge-router-%04d", i))
 	}
-	obey(clusterstate.Command{Verb: clusterstate.Restart, Instances: names})
-	obey(clusterstate.Command{Verb: clusterstate.Roll, Instances: names, Share: 0.1})
+	apply(clusterstate.Command{Verb: clusterstate.Restart, Instances: names})
+	apply(clusterstate.Command{Verb: clusterstate.Roll, Instances: names, Share: 0.1})
 	for _, name := range names {
-		obey(clusterstate.Command{Verb: clusterstate.Drain, Server: name})
-		obey(clusterstate.Command{Verb: clusterstate.Grant, Duty: "duty-of-" + name, Holder: name})
-		obey(clusterstate.Command{Verb: clusterstate.Bar, Holder: name})
+		apply(clusterstate.Command{Verb: clusterstate.Drain, Server: name})
+		apply(clusterstate.Command{Verb: clusterstate.Grant, Duty: "duty-of-" + name, Holder: name})
+		apply(clusterstate.Command{Verb: clusterstate.Bar, Holder: name})
 	}
-	text, err := s.Encode()
+	data, err := s.Encode()
 	require.NoError(t, err)
-	require.Less(t, len(text), 4<<20, "a snapshot of it")
+	require.Less(t, len(data), 4<<20, "the size of a snapshot")
 }
--- a/agent/members/members.go
+++ b/agent/members/members.go
@@ -1,4 +1,4 @@
-// Package members tells who is there, from heartbeats: free of I/O and handed the time.
+// Package members tracks which agents and instances are alive, from their heartbeats. It does no I/O; its callers pass in the time.
 package members
 
 import (
@@ -8,49 +8,49 @@
 	"hatchproxy/logic"
 )
 
-// State is what a member is taken to be.
+// State is what is assumed of a member.
 type State string
 
 const (
-	Joining   State = "joining" // expected, not heard yet
+	Joining   State = "joining" // expected, no heartbeat yet
 	Alive     State = "alive"
-	Suspected State = "suspected" // it has missed some heartbeats
-	Lost      State = "lost"      // it has missed many
-	Back      State = "back"      // heard again after it was lost; alive a while later
-	Left      State = "left"      // it went in good order
+	Suspected State = "suspected" // silent for a short time
+	Lost      State = "lost"      // silent for longer
+	Back      State = "back"      // heard again after it was lost or left; alive after some time
+	Left      State = "left"      // it announced that it leaves
 )
 
-// Member is one with its state and since when.
+// Member is an agent or an instance with its state.
 type Member struct {
 	Name       string       `json:"name"`
 	Kind       string       `json:"kind"`
 	State      State        `json:"state"`
-	StateSince logic.Micros `json:"since"`
-	HeardAt    logic.Micros `json:"heard"` // 0 for never
+	StateSince logic.Micros `json:"since"` // when it entered this state
+	HeardAt    logic.Micros `json:"heard"` // time of the last heartbeat, 0 if there was none
 }
 
-// List is who there is.
+// List holds the members. New makes one.
 type List struct {
-	suspectAfter, lostAfter, recoverAfter logic.Micros
+	suspectAfter, lostAfter, recoverAfter logic.Micros // as New explains them
 	members                               map[string]*Member
 }
 
-// New makes an empty roll: a member is suspected after a silence, lost after a longer one, and alive again some time
-// after it is back.
-func New(suspect, lose, settle logic.Micros) *List {
-	return &List{suspect, lose, settle, map[string]*Member{}}
+// New returns an empty list. A member is suspected once it has been silent for suspectAfter and lost once it has been silent for
+// lostAfter. One that comes back is alive again after recoverAfter.
+func New(suspectAfter, lostAfter, recoverAfter logic.Micros) *List {
+	return &List{suspectAfter, lostAfter, recoverAfter, map[string]*Member{}}
 }
 
-// Expect enters one that is to come.
-func (r *List) Expect(now logic.Micros, name, kind string) {
-	if r.members[name] == nil {
-		r.members[name] = &Member{Name: name, Kind: kind, State: Joining, StateSince: now}
+// Expect adds a member that is expected to join. It does nothing if there is one of that name.
+func (l *List) Expect(now logic.Micros, name, kind string) {
+	if l.members[name] == nil {
+		l.members[name] = &Member{Name: name, Kind: kind, State: Joining, StateSince: now}
 	}
 }
 
-// RecordHeartbeat takes a heartbeat; true if the member's state has changed.
-func (r *List) RecordHeartbeat(now logic.Micros, name string) bool {
-	m := r.members[name]
+// RecordHeartbeat records a heartbeat and reports whether the member's state has changed. One of an unknown member is ignored.
+func (l *List) RecordHeartbeat(now logic.Micros, name string) bool {
+	m := l.members[name]
 	if m == nil {
 		return false
 	}
@@ -59,59 +59,60 @@
 	case Lost, Left:
 		return m.setState(now, Back)
 	case Back:
-		return now-m.StateSince >= r.recoverAfter && m.setState(now, Alive)
+		return now-m.StateSince >= l.recoverAfter && m.setState(now, Alive)
 	case Alive:
 		return false
 	}
 	return m.setState(now, Alive)
 }
 
-// MarkLeft takes the word of one that goes.
-func (r *List) MarkLeft(now logic.Micros, name string) bool {
-	m := r.members[name]
+// MarkLeft records that a member leaves in an orderly way, and reports whether its state has changed.
+func (l *List) MarkLeft(now logic.Micros, name string) bool {
+	m := l.members[name]
 	return m != nil && m.State != Left && m.setState(now, Left)
 }
 
-// Tick finds those that have been silent, and returns whose state has changed, by name.
-func (r *List) Tick(now logic.Micros) []Member {
+// Tick updates the states of members that have been silent, and returns those whose state has changed, sorted by name.
+func (l *List) Tick(now logic.Micros) []Member {
 	var changed []Member
-	for _, m := range r.All() {
-		p := r.members[m.Name]
-		quiet := now - max(m.HeardAt, 0)
-		was := m.State
+	for _, m := range l.All() {
+		member := l.members[m.Name]
+		silence := now - max(m.HeardAt, 0)
+		previous := m.State
 		switch {
 		case m.State == Left, m.State == Lost:
-		case m.HeardAt == 0 && now-m.StateSince < r.lostAfter:
-		case quiet >= r.lostAfter:
-			p.setState(now, Lost)
-		case quiet >= r.suspectAfter && m.State != Suspected && m.State != Joining:
-			p.setState(now, Suspected)
+		case m.HeardAt == 0 && now-m.StateSince < l.lostAfter:
+		case silence >= l.lostAfter:
+			member.setState(now, Lost)
+		case silence >= l.suspectAfter && m.State != Suspected && m.State != Joining:
+			member.setState(now, Suspected)
 		}
-		if p.State != was {
-			changed = append(changed, *p)
+		if member.State != previous {
+			changed = append(changed, *member)
 		}
 	}
 	return changed
 }
 
-// All are the members by name.
-func (r *List) All() []Member {
-	all := make([]Member, 0, len(r.members))
-	for _, m := range r.members {
+// All returns copies of all members, sorted by name.
+func (l *List) All() []Member {
+	all := make([]Member, 0, len(l.members))
+	for _, m := range l.members {
 		all = append(all, *m)
 	}
 	slices.SortFunc(all, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
-// State is a member's; "" if there is none of that name.
-func (r *List) State(name string) State {
-	if m := r.members[name]; m != nil {
+// State returns the state of a member, "" if there is none of that name.
+func (l *List) State(name string) State {
+	if m := l.members[name]; m != nil {
 		return m.State
 	}
 	return ""
 }
 
+// setState changes the state. It returns true always, for callers that report whether the state has changed.
 func (m *Member) setState(now logic.Micros, s State) bool {
 	m.State, m.StateSince = s, now
 	return true
