--- a/cmd/hatchagent/main.go
+++ b/cmd/hatchagent/main.go
@@ -1,4 +1,4 @@
-// Command hatchagent keeps instances of hatchproxy running and brings each to what operators ordered.
+// Command hatchagent keeps instances of hatchproxy running and gives them the orders of operators.
 package main
 
 import (
@@ -18,55 +18,56 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is an error of the write, as a full disk is
+	signal.Ignore(syscall.SIGXFSZ) // exceeding the file size limit then makes the write fail, as a full disk does
 	if err := newRootCommand().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "hatchagent:", err)
 		os.Exit(2)
 	}
 }
 
+// newRootCommand returns the command line interface.
 func newRootCommand() *cobra.Command {
-	var level, testClock string
+	var logLevel, testClock string
 	root := &cobra.Command{
-		Use: "hatchagent", Short: "Keeps instances of hatchproxy running and brings each to what was ordered",
+		Use: "hatchagent", Short: "Keeps instances of hatchproxy running and gives them the orders of operators",
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	serve := &cobra.Command{
-		Use: "serve FILE", Short: "Run the agent until SIGTERM; its instances go on without it", Args: cobra.ExactArgs(1),
+		Use: "serve FILE", Short: "Run the agent until SIGTERM; its instances keep running", Args: cobra.ExactArgs(1),
 		Example: "  hatchagent serve /etc/hatchproxy/agent.toml",
-		Long: `Starts the instances that the file names, watches them, and gives each the orders that stand. The log of orders lies in
-the file's data folder; with other agents named in the file it is replicated to them. An agent that ends, or dies, leaves
-its instances running; the next one finds them.
+		Long: `Starts and monitors the instances in the configuration file, and gives each the orders in effect. The log of orders is in the
+data folder that the file names. If the file names other agents, the log is replicated among them. When an agent stops or
+crashes, its instances keep running; the next run of the agent takes them over.
 
-Exit codes: 0 it was told to end, 2 it could not run (a file that is wrong, a log that is torn, an address in use).`,
+Exit codes: 0 stopped by a signal, 2 could not run (for example an invalid file, a corrupt log, an address in use).`,
 		RunE: func(c *cobra.Command, args []string) error {
-			plan, err := agent.ReadConfig(args[0])
+			config, err := agent.ReadConfig(args[0])
 			if err != nil {
 				return err
 			}
-			var lowest slog.Level
-			if err := lowest.UnmarshalText([]byte(level)); err != nil {
+			var level slog.Level
+			if err := level.UnmarshalText([]byte(logLevel)); err != nil {
 				return fmt.Errorf("--log-level: %w", err)
 			}
 			clock, err := agent.ParseTestClock(testClock)
 			if err != nil {
 				return err
 			}
-			err = agent.Run(c.Context(), plan, clock, slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: lowest})))
+			err = agent.Run(c.Context(), config, clock, slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: level})))
 			if errors.Is(err, context.Canceled) {
 				return nil
 			}
 			return err
 		},
 	}
-	serve.Flags().StringVar(&level, "log-level", "info", "debug, info, warn or error")
-	serve.Flags().StringVar(&testClock, "test-clock", "", "FOR TESTS ONLY: a clock that is wrong, such as rate=1.05,off=-1h,jump=1h@2s")
+	serve.Flags().StringVar(&logLevel, "log-level", "info", "debug, info, warn or error")
+	serve.Flags().StringVar(&testClock, "test-clock", "", "FOR TESTS ONLY: an inaccurate clock, such as rate=1.05,off=-1h,jump=1h@2s")
 	check := &cobra.Command{
-		Use: "check FILE", Short: "Read the agent's file and say what is wrong with it", Args: cobra.ExactArgs(1),
+		Use: "check FILE", Short: "Check an agent's configuration file and report errors", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			plan, err := agent.ReadConfig(args[0])
+			config, err := agent.ReadConfig(args[0])
 			if err == nil {
-				fmt.Fprintf(c.OutOrStdout(), "%s: good; %d instances, %d other agents\n", plan.Name, len(plan.Instances), len(plan.Peers))
+				fmt.Fprintf(c.OutOrStdout(), "%s: good; %d instances, %d other agents\n", config.Name, len(config.Instances), len(config.Peers))
 			}
 			return err
 		},
--- a/cmd/hatchctl/cli.go
+++ b/cmd/hatchctl/cli.go
@@ -25,16 +25,17 @@
 const (
 	defaultAgent   = "127.0.0.1:7070"
 	defaultTimeout = 10 * time.Second
-	pollInterval   = 50 * time.Millisecond
+	pollInterval   = 50 * time.Millisecond // how often the agents are asked while a command waits
 )
 
-// cli is what all commands have in common.
+// cli holds the options that all commands share.
 type cli struct {
-	agentAddresses []string
+	agentAddresses []string // tried in this order
 	asJSON         bool
-	timeout        time.Duration
+	timeout        time.Duration // how long to wait until all instances have answered
 }
 
+// parseAgents splits the list of addresses in $HATCHCTL_AGENT. An empty one stands for the default.
 func parseAgents(text string) []string {
 	if text == "" {
 		return []string{defaultAgent}
@@ -42,32 +43,33 @@
 	return strings.Split(text, ",")
 }
 
-// tryAgents asks one agent after the other until one answers.
-func (t *cli) tryAgents(ctx context.Context, ask func(context.Context, *agent.Client) error) error {
-	var last error
-	for _, at := range t.agentAddresses {
-		c := agent.NewClient(at)
-		call, cancel := context.WithTimeout(ctx, 8*time.Second)
-		last = ask(call, c)
+// tryAgents calls one agent after the other until a call succeeds, and returns the last error if none does.
+func (app *cli) tryAgents(ctx context.Context, call func(context.Context, *agent.Client) error) error {
+	var lastErr error
+	for _, address := range app.agentAddresses {
+		c := agent.NewClient(address)
+		callCtx, cancel := context.WithTimeout(ctx, 8*time.Second)
+		lastErr = call(callCtx, c)
 		cancel()
 		c.Close()
-		if last == nil {
+		if lastErr == nil {
 			return nil
 		}
-		last = fmt.Errorf("agent %s: %w", at, last)
+		lastErr = fmt.Errorf("agent %s: %w", address, lastErr)
 	}
-	return last
+	return lastErr
 }
 
-func (t *cli) view(ctx context.Context) (v agent.View, err error) {
-	return v, t.tryAgents(ctx, func(ctx context.Context, c *agent.Client) error {
+// view returns what all agents know together.
+func (app *cli) view(ctx context.Context) (v agent.View, err error) {
+	return v, app.tryAgents(ctx, func(ctx context.Context, c *agent.Client) error {
 		v, err = c.ClusterView(ctx)
 		return err
 	})
 }
 
-// submit has a command agreed on. It is said again, under the same id, where an agent did not answer.
-func (t *cli) submit(ctx context.Context, c clusterstate.Command) (uint64, error) {
+// submit submits a command and returns its number once it is committed. Until the timeout it retries with the same ID after an error.
+func (app *cli) submit(ctx context.Context, c clusterstate.Command) (uint64, error) {
 	if c.ID == "" {
 		c.ID = newCommandID()
 	}
@@ -77,12 +79,12 @@
 	}
 	var number uint64
 	var err error
-	for until := time.Now().Add(t.timeout); ; {
-		err = t.tryAgents(ctx, func(ctx context.Context, a *agent.Client) error {
+	for deadline := time.Now().Add(app.timeout); ; {
+		err = app.tryAgents(ctx, func(ctx context.Context, a *agent.Client) error {
 			number, err = a.Submit(ctx, c)
 			return err
 		})
-		if err == nil || time.Now().After(until) || ctx.Err() != nil {
+		if err == nil || time.Now().After(deadline) || ctx.Err() != nil {
 			break
 		}
 		time.Sleep(pollInterval * 2)
@@ -93,17 +95,18 @@
 	return number, nil
 }
 
+// newCommandID returns an ID of the user's name, the time and a random number.
 func newCommandID() string {
-	b := make([]byte, 6)
-	_, _ = rand.Read(b) // it never fails
-	who := "operator"
+	random := make([]byte, 6)
+	_, _ = rand.Read(random) // never fails
+	name := "operator"
 	if u, err := user.Current(); err == nil {
-		who = u.Username
+		name = u.Username
 	}
-	return who + "-" + time.Now().UTC().Format("20060102T150405") + "-" + hex.EncodeToString(b)
+	return name + "-" + time.Now().UTC().Format("20060102T150405") + "-" + hex.EncodeToString(random)
 }
 
-// orderReport is what became of a command at each instance.
+// orderReport is the result of an order at each instance.
 type orderReport struct {
 	ID           string           `json:"id"`
 	Number       uint64           `json:"number"`
@@ -111,66 +114,68 @@
 	SilentAgents []string         `json:"silent_agents,omitempty"`
 }
 
+// instanceAnswer is the result of an order at one instance.
 type instanceAnswer struct {
 	Instance string  `json:"instance"`
 	Agent    string  `json:"agent"`
 	Verdict  string  `json:"verdict"` // obeyed, unknown, stale, refused, no answer, not running
 	Reason   string  `json:"why,omitempty"`
-	AfterMS  float64 `json:"after_ms"` // from when the command was said until the instance heard it
+	AfterMS  float64 `json:"after_ms"` // from when the command was issued until the instance received it; -1 if it has not
 }
 
-// collectAnswers tells what each instance has answered to an order so far, and whether all that run have.
-func collectAnswers(v agent.View, server string, number uint64, said logic.Micros) (a orderReport, all bool) {
-	a, all = orderReport{Number: number, Instances: []instanceAnswer{}, SilentAgents: v.SilentAgents}, len(v.SilentAgents) == 0
+// collectAnswers returns what each instance has answered to an order so far, and whether all that should run have answered.
+func collectAnswers(v agent.View, server string, number uint64, issuedAt logic.Micros) (report orderReport, all bool) {
+	report, all = orderReport{Number: number, Instances: []instanceAnswer{}, SilentAgents: v.SilentAgents}, len(v.SilentAgents) == 0
 	for _, i := range v.Instances {
-		x := instanceAnswer{Instance: i.Name, Agent: i.Agent, AfterMS: -1}
-		h, known := i.OrderResults[server]
+		answer := instanceAnswer{Instance: i.Name, Agent: i.Agent, AfterMS: -1}
+		result, known := i.OrderResults[server]
 		switch {
-		case known && h.Number >= number:
-			x.Verdict, x.Reason = string(h.Verdict), h.Reason
-			x.AfterMS = math.Max(0, float64(h.ReceivedAt-said)/1000)
+		case known && result.Number >= number:
+			answer.Verdict, answer.Reason = string(result.Verdict), result.Reason
+			answer.AfterMS = math.Max(0, float64(result.ReceivedAt-issuedAt)/1000)
 		case !i.ShouldRun || i.State == supervisor.Stopped:
-			x.Verdict, x.Reason = "not running", "it hears the order at its start"
+			answer.Verdict, answer.Reason = "not running", "it gets the order when it starts"
 		case i.State == supervisor.CrashLooping:
-			x.Verdict, x.Reason = "no answer", "crash loop: "+i.Reason
+			answer.Verdict, answer.Reason = "no answer", "crash loop: "+i.Reason
 			all = false
 		default:
-			x.Verdict, x.Reason = "no answer", string(i.State)+", "+string(i.MemberState)
+			answer.Verdict, answer.Reason = "no answer", string(i.State)+", "+string(i.MemberState)
 			all = false
 		}
-		a.Instances = append(a.Instances, x)
+		report.Instances = append(report.Instances, answer)
 	}
-	return a, all
+	return report, all
 }
 
-// awaitAnswers waits until all instances have answered an order, or the time is over.
-func (t *cli) awaitAnswers(c *cobra.Command, cmd clusterstate.Command, number uint64) error {
-	var a orderReport
+// awaitAnswers waits until all instances have answered an order or the timeout has passed, and prints the answers. Its error holds the
+// exit code.
+func (app *cli) awaitAnswers(cmd *cobra.Command, command clusterstate.Command, number uint64) error {
+	var report orderReport
 	var all bool
-	for until := time.Now().Add(t.timeout); ; time.Sleep(pollInterval) {
-		v, err := t.view(c.Context())
+	for deadline := time.Now().Add(app.timeout); ; time.Sleep(pollInterval) {
+		v, err := app.view(cmd.Context())
 		if err == nil {
-			a, all = collectAnswers(v, cmd.Server, number, cmd.IssuedAt)
+			report, all = collectAnswers(v, command.Server, number, command.IssuedAt)
 		}
-		if all || time.Now().After(until) || c.Context().Err() != nil {
+		if all || time.Now().After(deadline) || cmd.Context().Err() != nil {
 			break
 		}
 	}
-	a.ID = cmd.ID
+	report.ID = command.ID
 	count := map[string]int{}
-	for _, x := range a.Instances {
-		count[x.Verdict]++
+	for _, answer := range report.Instances {
+		count[answer.Verdict]++
 	}
-	t.print(c.OutOrStdout(), a, func(w io.Writer) {
+	app.print(cmd.OutOrStdout(), report, func(w io.Writer) {
 		fmt.Fprintln(w, "INSTANCE\tAGENT\tANSWER\tAFTER\tWHY")
-		for _, x := range a.Instances {
+		for _, answer := range report.Instances {
 			after := "-"
-			if x.AfterMS >= 0 {
-				after = fmt.Sprintf("%.1f ms", x.AfterMS)
+			if answer.AfterMS >= 0 {
+				after = fmt.Sprintf("%.1f ms", answer.AfterMS)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", x.Instance, x.Agent, x.Verdict, after, x.Reason)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", answer.Instance, answer.Agent, answer.Verdict, after, answer.Reason)
 		}
-		for _, name := range a.SilentAgents {
+		for _, name := range report.SilentAgents {
 			fmt.Fprintf(w, "(all of it)\t%s\tno answer\t-\tthe agent does not answer\n", name)
 		}
 	})
@@ -178,18 +183,18 @@
 	case count["refused"]+count["stale"] > 0:
 		return exitError{exitRefused, fmt.Sprintf("order %d: %d obeyed, %d refused it", number, count["obeyed"], count["refused"]+count["stale"])}
 	case count["unknown"] > 0:
-		return exitError{exitRefused, fmt.Sprintf("order %d: %d instances know no server %q; the order is kept, and counts should it come", number, count["unknown"], cmd.Server)}
+		return exitError{exitRefused, fmt.Sprintf("order %d: %d instances know no server %q; the order stays in effect in case the server is added", number, count["unknown"], command.Server)}
 	case !all:
-		return exitError{exitNoAnswer, fmt.Sprintf("order %d: %d obeyed, %d have not answered; it is kept, and given to them when they do", number, count["obeyed"], count["no answer"])}
+		return exitError{exitNoAnswer, fmt.Sprintf("order %d: %d obeyed, %d have not answered; the order stays in effect and is sent to them once they answer", number, count["obeyed"], count["no answer"])}
 	}
 	return nil
 }
 
-// print writes a result as JSON or as a table.
-func (t *cli) print(out io.Writer, what any, table func(io.Writer)) {
-	if t.asJSON {
-		text, _ := json.MarshalIndent(what, "", " ") // plain values
-		fmt.Fprintln(out, string(text))
+// print prints a result as JSON or as a table.
+func (app *cli) print(out io.Writer, result any, table func(io.Writer)) {
+	if app.asJSON {
+		data, _ := json.MarshalIndent(result, "", " ") // cannot fail: the values are plain
+		fmt.Fprintln(out, string(data))
 		return
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
@@ -197,91 +202,94 @@
 	_ = w.Flush()
 }
 
-func (t *cli) drainCommand(verb string) *cobra.Command {
+// drainCommand returns the command drain or undrain.
+func (app *cli) drainCommand(verb string) *cobra.Command {
 	var id string
-	var span time.Duration
-	what := map[string]string{"drain": "Have all instances send nothing new to a server and move who stands there",
-		"undrain": "Have all instances take a server as the list has it again"}
-	c := &cobra.Command{
-		Use: verb + " SERVER", Short: what[verb], Args: cobra.ExactArgs(1), Long: what[verb] + ".\n\n" + exitCodesHelp,
+	var duration time.Duration
+	descriptions := map[string]string{"drain": "Make all instances send nothing new to a server and move its clients away",
+		"undrain": "Make all instances use a server as the list of servers says again"}
+	cmd := &cobra.Command{
+		Use: verb + " SERVER", Short: descriptions[verb], Args: cobra.ExactArgs(1), Long: descriptions[verb] + ".\n\n" + exitCodesHelp,
 		Example: "  hatchctl " + verb + " feed-7\n  hatchctl " + verb + " feed-7 --json --within 3s",
-		RunE: func(c *cobra.Command, args []string) error {
-			cmd := clusterstate.Command{ID: id, Verb: clusterstate.Verb(verb), Server: args[0]}
-			if cmd.ID == "" {
-				cmd.ID = newCommandID()
+		RunE: func(cmd *cobra.Command, args []string) error {
+			command := clusterstate.Command{ID: id, Verb: clusterstate.Verb(verb), Server: args[0]}
+			if command.ID == "" {
+				command.ID = newCommandID()
 			}
-			cmd.IssuedAt = logic.Micros(time.Now().UnixMicro())
-			if span > 0 {
-				cmd.ExpiresAt = cmd.IssuedAt + logic.Micros(span.Microseconds())
+			command.IssuedAt = logic.Micros(time.Now().UnixMicro())
+			if duration > 0 {
+				command.ExpiresAt = command.IssuedAt + logic.Micros(duration.Microseconds())
 			}
-			number, err := t.submit(c.Context(), cmd)
+			number, err := app.submit(cmd.Context(), command)
 			if err != nil {
 				return err
 			}
-			return t.awaitAnswers(c, cmd, number)
+			return app.awaitAnswers(cmd, command, number)
 		},
 	}
-	c.Flags().StringVar(&id, "id", "", "the command's id; one said twice counts once")
+	cmd.Flags().StringVar(&id, "id", "", "ID of the command; a repetition with the same ID is applied once")
 	if verb == "drain" {
-		c.Flags().DurationVar(&span, "for", 0, "how long; for ever if not given")
+		cmd.Flags().DurationVar(&duration, "for", 0, "end the drain after this time; never if not given")
 	}
-	return c
+	return cmd
 }
 
-func (t *cli) statusCommand() *cobra.Command {
+// statusCommand returns the command status.
+func (app *cli) statusCommand() *cobra.Command {
 	var watch time.Duration
-	c := &cobra.Command{
-		Use: "status [INSTANCE]", Short: "What each instance sees; of one, with its servers", Args: cobra.MaximumNArgs(1),
+	cmd := &cobra.Command{
+		Use: "status [INSTANCE]", Short: "Show the status of all instances, or of one with its servers", Args: cobra.MaximumNArgs(1),
 		Example: "  hatchctl status\n  hatchctl status n3\n  hatchctl status --watch 2s",
-		RunE: func(c *cobra.Command, args []string) error {
-			return runEvery(c, watch, func() error {
-				v, err := t.view(c.Context())
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return runEvery(cmd, watch, func() error {
+				v, err := app.view(cmd.Context())
 				if err != nil {
 					return exitError{exitCannotRun, err.Error()}
 				}
 				if len(args) == 1 {
 					v.Instances = slices.DeleteFunc(v.Instances, func(i agent.InstanceView) bool { return i.Name != args[0] })
 					if len(v.Instances) == 0 {
-						return exitError{exitCannotRun, fmt.Sprintf("there is no instance %q", args[0])}
+						return exitError{exitCannotRun, fmt.Sprintf("no instance is named %q", args[0])}
 					}
 				}
-				t.print(c.OutOrStdout(), v, func(w io.Writer) { printStatus(w, v, len(args) == 1) })
+				app.print(cmd.OutOrStdout(), v, func(w io.Writer) { printStatus(w, v, len(args) == 1) })
 				return nil
 			})
 		},
 	}
-	c.Flags().DurationVar(&watch, "watch", 0, "tell it again whenever so much time has passed")
-	return c
+	cmd.Flags().DurationVar(&watch, "watch", 0, "repeat at this interval")
+	return cmd
 }
 
-// runEvery tells something once, or again whenever so much time has passed.
-func runEvery(c *cobra.Command, every time.Duration, tell func() error) error {
+// runEvery calls a function once, or if the interval is positive, at that interval until it fails or the command is cancelled.
+func runEvery(cmd *cobra.Command, interval time.Duration, run func() error) error {
 	for {
-		if err := tell(); err != nil || every <= 0 {
+		if err := run(); err != nil || interval <= 0 {
 			return err
 		}
 		select {
-		case <-time.After(every):
-		case <-c.Context().Done():
+		case <-time.After(interval):
+		case <-cmd.Context().Done():
 			return nil
 		}
 	}
 }
 
-func printStatus(w io.Writer, v agent.View, servers bool) {
+// printStatus prints the instances as a table, and the servers of the first one if asked to.
+func printStatus(w io.Writer, v agent.View, withServers bool) {
 	fmt.Fprintln(w, "INSTANCE\tAGENT\tSTATE\tMEMBER\tSTANDING\tLIST\tORDERS\tCONFIG\tUP")
 	for _, i := range v.Instances {
-		standing, list, held, config, up := "-", "-", "-", "-", "-"
+		standing, list, orders, config, up := "-", "-", "-", "-", "-"
 		if s := i.Status; s != nil {
-			standing, list, held, config = fmt.Sprint(s.Standing), fmt.Sprintf("%d, %s old", s.ListVersion, formatAge(s.ListAgeMicros)), fmt.Sprint(len(s.Orders)), s.ConfigHash
+			standing, list, orders, config = fmt.Sprint(s.Standing), fmt.Sprintf("%d, %s old", s.ListVersion, formatAge(s.ListAgeMicros)), fmt.Sprint(len(s.Orders)), s.ConfigHash
 			up = formatAge(s.NowMicros - s.StartedMicros)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", i.Name, i.Agent, i.State, i.MemberState, standing, list, held, config, up)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", i.Name, i.Agent, i.State, i.MemberState, standing, list, orders, config, up)
 	}
 	for _, name := range v.SilentAgents {
 		fmt.Fprintf(w, "(all of it)\t%s\tno answer\t-\t-\t-\t-\t-\t-\n", name)
 	}
-	if !servers || v.Instances[0].Status == nil {
+	if !withServers || v.Instances[0].Status == nil {
 		return
 	}
 	fmt.Fprintln(w, "\nSERVER\tZONE\tSTATE\tLIST\tSTANDING\tPENDING\tFAILURES\tPROBE\tPASSED OVER")
@@ -290,6 +298,7 @@
 	}
 }
 
+// formatAge formats a number of microseconds, "never" if it is negative.
 func formatAge(micros int64) string {
 	if micros < 0 {
 		return "never"
@@ -297,15 +306,16 @@
 	return (time.Duration(micros) * time.Microsecond).Round(100 * time.Millisecond).String()
 }
 
-func (t *cli) membersCommand() *cobra.Command {
+// membersCommand returns the command members.
+func (app *cli) membersCommand() *cobra.Command {
 	members := &cobra.Command{
-		Use: "members", Short: "Who is there: agents and instances, joining, alive, suspected, lost, back or left", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			v, err := t.view(c.Context())
+		Use: "members", Short: "Show the agents and instances, each joining, alive, suspected, lost, back or left", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			v, err := app.view(cmd.Context())
 			if err != nil {
 				return exitError{exitCannotRun, err.Error()}
 			}
-			t.print(c.OutOrStdout(), v.Members, func(w io.Writer) {
+			app.print(cmd.OutOrStdout(), v.Members, func(w io.Writer) {
 				fmt.Fprintf(w, "agent %s answers; %q leads, term %d\n", v.Agent, v.Leader, v.Term)
 				fmt.Fprintf(w, "voters: %s\n", strings.Join(v.Voters, ", "))
 				fmt.Fprintln(w, "MEMBER\tKIND\tSTATE\tSINCE")
@@ -316,19 +326,19 @@
 			return nil
 		},
 	}
-	for what, short := range map[string]string{
-		"promote": "Give an agent a vote", "demote": "Take an agent's vote; it goes on hearing what is agreed on",
-		"forget": "Take an agent out, as one whose machine is gone for good",
+	for action, short := range map[string]string{
+		"promote": "Give an agent a vote", "demote": "Remove an agent's vote; the log is still replicated to it",
+		"forget": "Remove an agent, for example one whose machine is gone for good",
 	} {
 		members.AddCommand(&cobra.Command{
-			Use: what + " AGENT", Short: short, Args: cobra.ExactArgs(1),
-			Long: short + ". One at a time: each is agreed on by most voters before the next. Keep three or five.",
-			RunE: func(c *cobra.Command, args []string) error {
-				err := t.tryAgents(c.Context(), func(ctx context.Context, a *agent.Client) error { return a.ChangeVoters(ctx, what, args[0]) })
+			Use: action + " AGENT", Short: short, Args: cobra.ExactArgs(1),
+			Long: short + ". Change one agent at a time: a majority of the voters has to accept each change before the next. Keep three or five voters.",
+			RunE: func(cmd *cobra.Command, args []string) error {
+				err := app.tryAgents(cmd.Context(), func(ctx context.Context, a *agent.Client) error { return a.ChangeVoters(ctx, action, args[0]) })
 				if err != nil {
 					return exitError{exitNotAgreed, err.Error()}
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", args[0], what)
+				fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", args[0], action)
 				return nil
 			},
 		})
@@ -336,15 +346,16 @@
 	return members
 }
 
-func (t *cli) ordersCommand() *cobra.Command {
+// ordersCommand returns the command orders.
+func (app *cli) ordersCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "orders", Short: "The commands that were agreed on, oldest first", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			v, err := t.view(c.Context())
+		Use: "orders", Short: "Show the most recent committed commands, oldest first", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			v, err := app.view(cmd.Context())
 			if err != nil {
 				return exitError{exitCannotRun, err.Error()}
 			}
-			t.print(c.OutOrStdout(), v.RecentCommands, func(w io.Writer) {
+			app.print(cmd.OutOrStdout(), v.RecentCommands, func(w io.Writer) {
 				fmt.Fprintln(w, "NUMBER\tSAID\tVERB\tOF\tID")
 				for _, e := range v.RecentCommands {
 					fmt.Fprintf(w, "%d\t%s\t%s\t%s%s\t%s\n", e.Number, time.UnixMicro(int64(e.IssuedAt)).Format(time.DateTime), e.Verb, e.Server, strings.Join(e.Instances, ","), e.ID)
@@ -355,9 +366,9 @@
 	}
 }
 
-// resolveInstances are those that are named, or all.
-func (t *cli) resolveInstances(ctx context.Context, names []string) ([]string, error) {
-	v, err := t.view(ctx)
+// resolveInstances returns the given names, or those of all instances if none are given. It fails if an instance does not exist.
+func (app *cli) resolveInstances(ctx context.Context, names []string) ([]string, error) {
+	v, err := app.view(ctx)
 	if err != nil {
 		return nil, exitError{exitCannotRun, err.Error()}
 	}
@@ -370,50 +381,52 @@
 	}
 	for _, name := range names {
 		if !slices.Contains(all, name) {
-			return nil, exitError{exitCannotRun, fmt.Sprintf("there is no instance %q", name)}
+			return nil, exitError{exitCannotRun, fmt.Sprintf("no instance is named %q", name)}
 		}
 	}
 	return names, nil
 }
 
-// awaitInstances waits until instances are as wanted.
-func (t *cli) awaitInstances(c *cobra.Command, names []string, good func(agent.InstanceView) bool) error {
-	left := names
-	for until := time.Now().Add(t.timeout); ; time.Sleep(pollInterval) {
-		if v, err := t.view(c.Context()); err == nil {
-			left = nil
+// awaitInstances waits until a condition holds for all named instances. It fails if one of them is in a crash loop or the timeout has
+// passed.
+func (app *cli) awaitInstances(cmd *cobra.Command, names []string, done func(agent.InstanceView) bool) error {
+	remaining := names
+	for deadline := time.Now().Add(app.timeout); ; time.Sleep(pollInterval) {
+		if v, err := app.view(cmd.Context()); err == nil {
+			remaining = nil
 			for _, i := range v.Instances {
-				if !slices.Contains(names, i.Name) || good(i) {
+				if !slices.Contains(names, i.Name) || done(i) {
 					continue
 				}
 				if i.State == supervisor.CrashLooping {
 					return exitError{exitRefused, fmt.Sprintf("%s is in a crash loop: %s", i.Name, i.Reason)}
 				}
-				left = append(left, i.Name)
+				remaining = append(remaining, i.Name)
 			}
-			if len(left) == 0 && len(v.SilentAgents) == 0 {
+			if len(remaining) == 0 && len(v.SilentAgents) == 0 {
 				return nil
 			}
 		}
-		if time.Now().After(until) || c.Context().Err() != nil {
-			return exitError{exitNoAnswer, fmt.Sprintf("not there in %s: %s", t.timeout, strings.Join(left, ", "))}
+		if time.Now().After(deadline) || cmd.Context().Err() != nil {
+			return exitError{exitNoAnswer, fmt.Sprintf("not done after %s: %s", app.timeout, strings.Join(remaining, ", "))}
 		}
 	}
 }
 
-func (t *cli) runCommand(verb string) *cobra.Command {
+// runCommand returns the command start or stop.
+func (app *cli) runCommand(verb string) *cobra.Command {
 	return &cobra.Command{
-		Use: verb + " INSTANCE...", Short: map[string]string{"start": "Have instances run", "stop": "Have instances leave, and not come back"}[verb],
+		Use: verb + " INSTANCE...", Short: map[string]string{"start": "Start instances and keep them running", "stop": "Terminate instances and do not start them again"}[verb],
 		Args: cobra.MinimumNArgs(1), Example: "  hatchctl " + verb + " n3 n4", Long: exitCodesHelp,
-		RunE: func(c *cobra.Command, args []string) error {
-			names, err := t.resolveInstances(c.Context(), args)
+		RunE: func(cmd *cobra.Command, args []string) error {
+			names, err := app.resolveInstances(cmd.Context(), args)
 			if err != nil {
 				return err
 			}
-			if _, err := t.submit(c.Context(), clusterstate.Command{Verb: clusterstate.Verb(verb), Instances: names}); err != nil {
+			if _, err := app.submit(cmd.Context(), clusterstate.Command{Verb: clusterstate.Verb(verb), Instances: names}); err != nil {
 				return err
 			}
-			return t.awaitInstances(c, names, func(i agent.InstanceView) bool {
+			return app.awaitInstances(cmd, names, func(i agent.InstanceView) bool {
 				if verb == "start" {
 					return i.State == supervisor.Ready
 				}
@@ -423,101 +436,104 @@
 	}
 }
 
-func (t *cli) restartCommand() *cobra.Command {
+// restartCommand returns the command restart.
+func (app *cli) restartCommand() *cobra.Command {
 	var rolling bool
 	var share float64
-	c := &cobra.Command{
-		Use: "restart [INSTANCE...]", Short: "Have instances start anew, all or those named",
-		Long: `Have instances leave in good order and start anew. With --rolling never more than the stated share is away at once (one
-at the least), each is waited for until it is ready, and the first that is not ends the whole.
+	cmd := &cobra.Command{
+		Use: "restart [INSTANCE...]", Short: "Restart instances, all or those named",
+		Long: `Terminate instances in an orderly way and start them again. With --rolling at most the given share of them (but at least one)
+restarts at a time. The next ones follow once all of these are ready; if one does not become ready, the command stops there.
 
 ` + exitCodesHelp,
 		Example: "  hatchctl restart n3\n  hatchctl restart --rolling --share 0.1 --within 30s",
-		RunE: func(c *cobra.Command, args []string) error {
-			names, err := t.resolveInstances(c.Context(), args)
+		RunE: func(cmd *cobra.Command, args []string) error {
+			names, err := app.resolveInstances(cmd.Context(), args)
 			if err != nil {
 				return err
 			}
 			if rolling && !(share > 0 && share <= 1) {
-				return exitError{exitCannotRun, fmt.Sprintf("--share %g is not between 0 and 1", share)}
+				return exitError{exitCannotRun, fmt.Sprintf("--share %g is not above 0 and at most 1", share)}
 			}
-			if v, err := t.view(c.Context()); err == nil && rolling && slices.ContainsFunc(v.Duties, func(d agent.DutyView) bool { return d.Duty == agent.Conductor }) {
-				return t.rollByConductor(c, names, share)
+			if v, err := app.view(cmd.Context()); err == nil && rolling && slices.ContainsFunc(v.Duties, func(d agent.DutyView) bool { return d.Duty == agent.Conductor }) {
+				return app.rollByConductor(cmd, names, share)
 			}
 			batch := len(names)
 			if rolling {
 				batch = max(1, int(share*float64(len(names))+1e-9))
 			}
-			for some := range slices.Chunk(names, batch) {
-				number, err := t.submit(c.Context(), clusterstate.Command{Verb: clusterstate.Restart, Instances: some})
+			for group := range slices.Chunk(names, batch) {
+				number, err := app.submit(cmd.Context(), clusterstate.Command{Verb: clusterstate.Restart, Instances: group})
 				if err != nil {
 					return err
 				}
-				if err := t.awaitInstances(c, some, func(i agent.InstanceView) bool { return i.CompletedRestart >= number && i.State == supervisor.Ready }); err != nil {
+				if err := app.awaitInstances(cmd, group, func(i agent.InstanceView) bool { return i.CompletedRestart >= number && i.State == supervisor.Ready }); err != nil {
 					return err
 				}
-				if !t.asJSON {
-					fmt.Fprintf(c.ErrOrStderr(), "ready again: %s\n", strings.Join(some, ", "))
+				if !app.asJSON {
+					fmt.Fprintf(cmd.ErrOrStderr(), "ready again: %s\n", strings.Join(group, ", "))
 				}
 			}
-			t.print(c.OutOrStdout(), map[string][]string{"restarted": names}, func(w io.Writer) { fmt.Fprintf(w, "%d restarted\n", len(names)) })
+			app.print(cmd.OutOrStdout(), map[string][]string{"restarted": names}, func(w io.Writer) { fmt.Fprintf(w, "%d restarted\n", len(names)) })
 			return nil
 		},
 	}
-	c.Flags().BoolVar(&rolling, "rolling", false, "a share at a time")
-	c.Flags().Float64Var(&share, "share", 0.2, "the share that may be away at once")
-	return c
+	cmd.Flags().BoolVar(&rolling, "rolling", false, "restart a share of the instances at a time")
+	cmd.Flags().Float64Var(&share, "share", 0.2, "the share of the instances to restart at a time")
+	return cmd
 }
 
-func (t *cli) reloadCommand() *cobra.Command {
+// reloadCommand returns the command reload.
+func (app *cli) reloadCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "reload", Short: "Have all instances read their configuration again", Args: cobra.NoArgs, Long: exitCodesHelp,
-		RunE: func(c *cobra.Command, _ []string) error {
+		Use: "reload", Short: "Make all instances reload their configuration", Args: cobra.NoArgs, Long: exitCodesHelp,
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			var results map[string]string
-			err := t.tryAgents(c.Context(), func(ctx context.Context, a *agent.Client) (err error) {
+			err := app.tryAgents(cmd.Context(), func(ctx context.Context, a *agent.Client) (err error) {
 				results, err = a.Reload(ctx)
 				return err
 			})
 			if err != nil {
 				return exitError{exitCannotRun, err.Error()}
 			}
-			bad := 0
+			failed := 0
 			var names []string
-			for name, word := range results {
+			for name, result := range results {
 				names = append(names, name)
-				if word != "obeyed" {
-					bad++
+				if result != "obeyed" {
+					failed++
 				}
 			}
 			slices.Sort(names)
-			t.print(c.OutOrStdout(), results, func(w io.Writer) {
+			app.print(cmd.OutOrStdout(), results, func(w io.Writer) {
 				fmt.Fprintln(w, "INSTANCE\tANSWER")
 				for _, name := range names {
 					fmt.Fprintf(w, "%s\t%s\n", name, results[name])
 				}
 			})
-			if bad > 0 {
-				return exitError{exitRefused, fmt.Sprintf("%d did not", bad)}
+			if failed > 0 {
+				return exitError{exitRefused, fmt.Sprintf("%d did not reload", failed)}
 			}
 			return nil
 		},
 	}
 }
 
-func (t *cli) waitCommand() *cobra.Command {
+// waitCommand returns the command wait.
+func (app *cli) waitCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "wait [INSTANCE...]", Short: "Wait until instances are ready, and have heard all orders that stand", Long: exitCodesHelp,
+		Use: "wait [INSTANCE...]", Short: "Wait until instances are ready and have answered all orders in effect", Long: exitCodesHelp,
 		Example: "  hatchctl wait --within 60s",
-		RunE: func(c *cobra.Command, args []string) error {
-			names, err := t.resolveInstances(c.Context(), args)
+		RunE: func(cmd *cobra.Command, args []string) error {
+			names, err := app.resolveInstances(cmd.Context(), args)
 			if err != nil {
 				return err
 			}
-			v, err := t.view(c.Context())
+			v, err := app.view(cmd.Context())
 			if err != nil {
 				return exitError{exitCannotRun, err.Error()}
 			}
-			return t.awaitInstances(c, names, func(i agent.InstanceView) bool {
+			return app.awaitInstances(cmd, names, func(i agent.InstanceView) bool {
 				for _, e := range v.Orders {
 					if i.OrderResults[e.Server].Number < e.Number {
 						return false
--- a/cmd/hatchctl/duties.go
+++ b/cmd/hatchctl/duties.go
@@ -13,50 +13,51 @@
 	"hatchproxy/agent/clusterstate"
 )
 
-// rollByConductor has a rolling restart carried out by whoever holds that duty, and watches.
-func (t *cli) rollByConductor(c *cobra.Command, names []string, share float64) error {
-	cmd := clusterstate.Command{ID: newCommandID(), Verb: clusterstate.Roll, Instances: names, Share: share}
-	if _, err := t.submit(c.Context(), cmd); err != nil {
+// rollByConductor starts a rolling restart, which the agent that holds the duty of the conductor carries out, and waits until it is done.
+func (app *cli) rollByConductor(cmd *cobra.Command, names []string, share float64) error {
+	command := clusterstate.Command{ID: newCommandID(), Verb: clusterstate.Roll, Instances: names, Share: share}
+	if _, err := app.submit(cmd.Context(), command); err != nil {
 		return err
 	}
-	if !t.asJSON {
-		fmt.Fprintf(c.ErrOrStderr(), "roll %s\n", cmd.ID)
+	if !app.asJSON {
+		fmt.Fprintf(cmd.ErrOrStderr(), "roll %s\n", command.ID)
 	}
-	told := 0
-	for until := time.Now().Add(t.timeout); ; time.Sleep(pollInterval) {
+	stepsReported := 0
+	for deadline := time.Now().Add(app.timeout); ; time.Sleep(pollInterval) {
 		var r clusterstate.RollingRestart
-		if v, err := t.view(c.Context()); err == nil {
-			if i := slices.IndexFunc(v.RollingRestarts, func(r clusterstate.RollingRestart) bool { return r.ID == cmd.ID }); i >= 0 {
+		if v, err := app.view(cmd.Context()); err == nil {
+			if i := slices.IndexFunc(v.RollingRestarts, func(r clusterstate.RollingRestart) bool { return r.ID == command.ID }); i >= 0 {
 				r = v.RollingRestarts[i]
 			}
 		}
-		if r.StepsStarted > told && !t.asJSON {
-			told = r.StepsStarted
-			fmt.Fprintf(c.ErrOrStderr(), "step %d: %s\n", told, strings.Join(r.StepInstances(told-1), ", "))
+		if r.StepsStarted > stepsReported && !app.asJSON {
+			stepsReported = r.StepsStarted
+			fmt.Fprintf(cmd.ErrOrStderr(), "step %d: %s\n", stepsReported, strings.Join(r.StepInstances(stepsReported-1), ", "))
 		}
 		switch r.State {
 		case clusterstate.Done:
-			t.print(c.OutOrStdout(), map[string][]string{"restarted": names}, func(w io.Writer) { fmt.Fprintf(w, "%d restarted\n", len(names)) })
+			app.print(cmd.OutOrStdout(), map[string][]string{"restarted": names}, func(w io.Writer) { fmt.Fprintf(w, "%d restarted\n", len(names)) })
 			return nil
 		case clusterstate.Paused, clusterstate.Aborted:
-			return exitError{exitRefused, fmt.Sprintf("the roll %s is %s after %d steps: %s", r.ID, r.State, r.StepsStarted, r.Reason)}
+			return exitError{exitRefused, fmt.Sprintf("rolling restart %s is %s after %d steps: %s", r.ID, r.State, r.StepsStarted, r.Reason)}
 		}
-		if time.Now().After(until) || c.Context().Err() != nil {
-			return exitError{exitNoAnswer, fmt.Sprintf("not there in %s: the roll %s is at step %d and goes on by itself", t.timeout, cmd.ID, r.StepsStarted)}
+		if time.Now().After(deadline) || cmd.Context().Err() != nil {
+			return exitError{exitNoAnswer, fmt.Sprintf("not done after %s: rolling restart %s is at step %d and continues", app.timeout, command.ID, r.StepsStarted)}
 		}
 	}
 }
 
-func (t *cli) rollCommand() *cobra.Command {
+// rollCommand returns the command roll.
+func (app *cli) rollCommand() *cobra.Command {
 	roll := &cobra.Command{
-		Use: "roll", Short: "Rolling restarts that are conducted: how far each is", Args: cobra.NoArgs,
+		Use: "roll", Short: "Show the progress of rolling restarts that the conductor carries out", Args: cobra.NoArgs,
 		Example: "  hatchctl roll\n  hatchctl roll pause ID\n  hatchctl roll go-on ID",
-		RunE: func(c *cobra.Command, _ []string) error {
-			v, err := t.view(c.Context())
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			v, err := app.view(cmd.Context())
 			if err != nil {
 				return exitError{exitCannotRun, err.Error()}
 			}
-			t.print(c.OutOrStdout(), v.RollingRestarts, func(w io.Writer) {
+			app.print(cmd.OutOrStdout(), v.RollingRestarts, func(w io.Writer) {
 				fmt.Fprintln(w, "ROLL\tSTATE\tSTEPS\tINSTANCES\tSHARE\tWHY")
 				for _, r := range v.RollingRestarts {
 					fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%g\t%s\n", r.ID, r.State, r.StepsStarted, len(r.Instances), r.Share, r.Reason)
@@ -65,74 +66,76 @@
 			return nil
 		},
 	}
-	for verb, short := range map[clusterstate.Verb]string{clusterstate.Pause: "Begin no further step", clusterstate.Resume: "Go on where it was paused", clusterstate.Abort: "End it; what was begun is not undone"} {
+	for verb, short := range map[clusterstate.Verb]string{clusterstate.Pause: "Start no further step", clusterstate.Resume: "Continue where it was paused", clusterstate.Abort: "End it; finished steps are not undone"} {
 		roll.AddCommand(&cobra.Command{
 			Use: string(verb) + " ROLL", Short: short, Args: cobra.ExactArgs(1),
-			RunE: func(c *cobra.Command, args []string) error {
-				return t.submitAndReport(c, clusterstate.Command{Verb: verb, RollingRestartID: args[0], Reason: "by command"})
+			RunE: func(cmd *cobra.Command, args []string) error {
+				return app.submitAndReport(cmd, clusterstate.Command{Verb: verb, RollingRestartID: args[0], Reason: "by command"})
 			},
 		})
 	}
 	return roll
 }
 
-// submitAndReport has a command agreed on and says so.
-func (t *cli) submitAndReport(c *cobra.Command, cmd clusterstate.Command) error {
-	number, err := t.submit(c.Context(), cmd)
+// submitAndReport submits a command and prints its number once it is committed.
+func (app *cli) submitAndReport(cmd *cobra.Command, command clusterstate.Command) error {
+	number, err := app.submit(cmd.Context(), command)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(c.OutOrStdout(), "%s: agreed on as number %d\n", cmd.Verb, number)
+	fmt.Fprintf(cmd.OutOrStdout(), "%s: committed as number %d\n", command.Verb, number)
 	return nil
 }
 
-func (t *cli) dutiesCommand() *cobra.Command {
+// dutiesCommand returns the command duties.
+func (app *cli) dutiesCommand() *cobra.Command {
 	var watch time.Duration
 	duties := &cobra.Command{
-		Use: "duties", Short: "Duties that one agent holds at a time: who holds each, by which token, since when and why", Args: cobra.NoArgs,
+		Use: "duties", Short: "Show the duties, each held by one agent at a time: holder, token, since when and why", Args: cobra.NoArgs,
 		Example: "  hatchctl duties --watch 1s\n  hatchctl duties hand-on conductor --to a2\n  hatchctl duties bar a1",
-		RunE: func(c *cobra.Command, _ []string) error {
-			return runEvery(c, watch, func() error {
-				v, err := t.leaderView(c)
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return runEvery(cmd, watch, func() error {
+				v, err := app.leaderView(cmd)
 				if err != nil {
 					return exitError{exitCannotRun, err.Error()}
 				}
-				t.print(c.OutOrStdout(), v.Duties, func(w io.Writer) { printDuties(w, v) })
+				app.print(cmd.OutOrStdout(), v.Duties, func(w io.Writer) { printDuties(w, v) })
 				return nil
 			})
 		},
 	}
-	duties.Flags().DurationVar(&watch, "watch", 0, "tell it again whenever so much time has passed")
+	duties.Flags().DurationVar(&watch, "watch", 0, "repeat at this interval")
 	var to string
-	on := &cobra.Command{
-		Use: "hand-on DUTY", Short: "Have another agent hold a duty", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			return t.submitAndReport(c, clusterstate.Command{Verb: clusterstate.Transfer, Duty: args[0], Holder: to})
+	handOn := &cobra.Command{
+		Use: "hand-on DUTY", Short: "Transfer a duty to another agent", Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return app.submitAndReport(cmd, clusterstate.Command{Verb: clusterstate.Transfer, Duty: args[0], Holder: to})
 		},
 	}
-	on.Flags().StringVar(&to, "to", "", "to whom; any other if not given, and where that one does not ask for it")
-	duties.AddCommand(on)
-	for verb, short := range map[clusterstate.Verb]string{clusterstate.Bar: "Give an agent no duty, and have it hand on what it holds", clusterstate.Unbar: "Give an agent duties again"} {
+	handOn.Flags().StringVar(&to, "to", "", "the new holder; any other candidate if not given, or if this one is no candidate")
+	duties.AddCommand(handOn)
+	for verb, short := range map[clusterstate.Verb]string{clusterstate.Bar: "Grant an agent no duty, and transfer those that it holds", clusterstate.Unbar: "Grant an agent duties again"} {
 		duties.AddCommand(&cobra.Command{
 			Use: string(verb) + " AGENT", Short: short, Args: cobra.ExactArgs(1),
-			RunE: func(c *cobra.Command, args []string) error {
-				return t.submitAndReport(c, clusterstate.Command{Verb: verb, Holder: args[0]})
+			RunE: func(cmd *cobra.Command, args []string) error {
+				return app.submitAndReport(cmd, clusterstate.Command{Verb: verb, Holder: args[0]})
 			},
 		})
 	}
 	return duties
 }
 
-// leaderView is the view of the agent that leads, where one of those that were named does: it alone knows how long a holder has.
-func (t *cli) leaderView(c *cobra.Command) (v agent.View, err error) {
-	for _, at := range t.agentAddresses {
-		one := *t
-		one.agentAddresses = []string{at}
-		found, fault := one.view(c.Context())
-		if fault == nil && (v.Agent == "" || found.IsLeader) {
+// leaderView returns the view of the leader, if it is among the addresses, or else of another agent. Only the leader knows how long
+// the leases last.
+func (app *cli) leaderView(cmd *cobra.Command) (v agent.View, err error) {
+	for _, address := range app.agentAddresses {
+		single := *app
+		single.agentAddresses = []string{address}
+		found, viewErr := single.view(cmd.Context())
+		if viewErr == nil && (v.Agent == "" || found.IsLeader) {
 			v = found
 		}
-		err = fault
+		err = viewErr
 	}
 	if v.Agent != "" {
 		err = nil
@@ -140,6 +143,7 @@
 	return v, err
 }
 
+// printDuties prints the duties and the barred holders as a table.
 func printDuties(w io.Writer, v agent.View) {
 	fmt.Fprintln(w, "DUTY\tHOLDER\tTOKEN\tHELD FOR\tENDS IN\tGIVEN BECAUSE\tTO")
 	for _, d := range v.Duties {
--- a/cmd/hatchctl/main.go
+++ b/cmd/hatchctl/main.go
@@ -1,4 +1,4 @@
-// Command hatchctl inspects and orders many instances of hatchproxy through their agents.
+// Command hatchctl inspects and controls the instances of hatchproxy through their agents.
 package main
 
 import (
@@ -12,23 +12,24 @@
 	"github.com/spf13/cobra"
 )
 
-// The exit codes, as the help tells.
+// The exit codes, and their description in the help texts.
 const (
 	exitSuccess   = 0
-	exitRefused   = 1 // somebody refused, or a restart failed
-	exitCannotRun = 2 // wrong words, or no agent answers
-	exitNoAnswer  = 3 // not all answered in time
-	exitNotAgreed = 4 // the agents could not agree on the command, or it is not known whether they did
-	exitCodesHelp = `Exit codes: 0 all obeyed, 1 one refused, failed or knows no such server, 2 it could not run (wrong words, no agent), 3 not all answered in
-time, 4 the agents did not agree on the command, or it is not known whether they did (say it again: it counts once).`
+	exitRefused   = 1 // an instance refused an order or does not know the server, or a restart failed
+	exitCannotRun = 2 // invalid arguments, or no agent answers
+	exitNoAnswer  = 3 // not all instances answered in time
+	exitNotAgreed = 4 // the command was not committed, or it is unknown whether it was
+	exitCodesHelp = `Exit codes: 0 all obeyed, 1 an instance refused, failed or does not know the server, 2 could not run (invalid arguments, no agent answers),
+3 not all answered in time, 4 the command was not committed, or it is unknown whether it was (with --id, a repetition is applied once).`
 )
 
-// exitError is an error with its code.
+// exitError is an error with an exit code.
 type exitError struct {
 	code    int
 	message string
 }
 
+// Error returns the message.
 func (e exitError) Error() string { return e.message }
 
 func main() {
@@ -48,12 +49,13 @@
 	}
 }
 
+// newRootCommand returns the command line interface.
 func newRootCommand() *cobra.Command {
-	t := &cli{}
+	app := &cli{}
 	root := &cobra.Command{
-		Use: "hatchctl", Short: "Inspects and orders many instances of hatchproxy through their agents", SilenceUsage: true, SilenceErrors: true,
-		Long: `Speaks to an agent, and through it to all: orders are agreed on by the agents, kept, and given to every instance,
-also to those that come back later.
+		Use: "hatchctl", Short: "Inspects and controls the instances of hatchproxy through their agents", SilenceUsage: true, SilenceErrors: true,
+		Long: `Sends requests to one agent, which reaches the others. The agents replicate and store orders, and give them to every
+instance, including those that start later.
 
 ` + exitCodesHelp,
 		Example: `  hatchctl status
@@ -61,11 +63,11 @@
   hatchctl restart --rolling --share 0.2
   hatchctl drain feed-7 --json --agent 127.0.0.1:7001,127.0.0.1:7002`,
 	}
-	f := root.PersistentFlags()
-	f.StringSliceVar(&t.agentAddresses, "agent", parseAgents(os.Getenv("HATCHCTL_AGENT")), "agents' addresses; the first that answers is asked ($HATCHCTL_AGENT)")
-	f.BoolVar(&t.asJSON, "json", false, "JSON instead of a table")
-	f.DurationVar(&t.timeout, "within", defaultTimeout, "how long to wait for all to answer")
-	root.AddCommand(t.statusCommand(), t.membersCommand(), t.ordersCommand(), t.drainCommand("drain"), t.drainCommand("undrain"),
-		t.runCommand("start"), t.runCommand("stop"), t.restartCommand(), t.reloadCommand(), t.waitCommand(), t.dutiesCommand(), t.rollCommand())
+	flags := root.PersistentFlags()
+	flags.StringSliceVar(&app.agentAddresses, "agent", parseAgents(os.Getenv("HATCHCTL_AGENT")), "addresses of agents, tried in this order until one answers ($HATCHCTL_AGENT)")
+	flags.BoolVar(&app.asJSON, "json", false, "print JSON instead of a table")
+	flags.DurationVar(&app.timeout, "within", defaultTimeout, "how long to wait until all have answered")
+	root.AddCommand(app.statusCommand(), app.membersCommand(), app.ordersCommand(), app.drainCommand("drain"), app.drainCommand("undrain"),
+		app.runCommand("start"), app.runCommand("stop"), app.restartCommand(), app.reloadCommand(), app.waitCommand(), app.dutiesCommand(), app.rollCommand())
 	return root
 }
