--- a/agent/api.go
+++ b/agent/api.go
@@ -25,8 +25,8 @@
 const ProtocolVersion = 1
 
 const (
-	maxBodyBytes = 256 << 10
-	httpTimeout  = 10 * time.Second
+	maxBodyBytes = 256 << 10        // of a request
+	httpTimeout  = 10 * time.Second // for connecting and for reading a request; handling it may take twice as long
 	// peerQueryTimeout is how long the other agents, or an instance, may take to answer when a request concerns all of them.
 	peerQueryTimeout = 1500 * time.Millisecond
 )
--- a/cmd/hatchctl/cli.go
+++ b/cmd/hatchctl/cli.go
@@ -24,7 +24,7 @@
 
 const (
 	defaultAgent   = "127.0.0.1:7070"
-	defaultTimeout = 10 * time.Second
+	defaultTimeout = 10 * time.Second      // as in cli.timeout
 	pollInterval   = 50 * time.Millisecond // how often the agents are asked while a command waits
 )
 
