--- a/lab/chaos/file.go
+++ b/lab/chaos/file.go
@@ -14,15 +14,15 @@
 
 // File is what is to be drawn, as it is written down.
 type File struct {
-	Agents  int      // all vote
-	Sites   int      // machine m stands in site m modulo this
-	Faults  int      // a run
+	Agents  int      `toml:"agents"` // all vote
+	Sites   int      `toml:"sites"`  // machine m stands in site m modulo this
+	Faults  int      `toml:"faults"` // a run
 	Kinds   []string // all if missing
-	Between float64  // seconds that a way between two sites takes
-	Beat    float64  // seconds that a leader may be silent; 0 for the agents' own
-	Clocks  bool     // the agents' clocks are wrong
+	Between float64  `toml:"between"` // seconds that a way between two sites takes
+	Beat    float64  `toml:"beat"`    // seconds that a leader may be silent; 0 for the agents' own
+	Clocks  bool     `toml:"clocks"`  // the agents' clocks are wrong
 	Duties  []string // that all agents stand for
-	Settles float64  // seconds after the last fault
+	Settles float64  `toml:"settles"` // seconds after the last fault
 }
 
 // ReadFile reads one; an error tells file, line and cause.
