--- a/agent/agent.go
+++ b/agent/agent.go
@@ -42,10 +42,10 @@
 
 // Peer is another agent in the configuration.
 type Peer struct {
-	Name     string
-	Listen   string // address of its HTTP API
-	Log      string `toml:"log"`   // address on which it accepts Raft connections
-	NonVoter bool   `toml:"hears"` // joins without a vote
+	Name       string
+	Listen     string // address of its HTTP API
+	LogAddress string `toml:"log"`   // address on which it accepts Raft connections
+	NonVoter   bool   `toml:"hears"` // joins without a vote
 }
 
 // InstanceConfig describes an instance that the agent runs.
@@ -118,7 +118,7 @@
 	for _, peer := range c.Peers {
 		checkName("peer", peer.Name)
 		checkLoopback("peer "+peer.Name+": listen", peer.Listen)
-		checkLoopback("peer "+peer.Name+": log", peer.Log)
+		checkLoopback("peer "+peer.Name+": log", peer.LogAddress)
 	}
 	for _, i := range c.Instances {
 		checkName("instance", i.Name)
--- a/agent/bootstrap.go
+++ b/agent/bootstrap.go
@@ -32,15 +32,15 @@
 // peerPollInterval is how often the other agents are asked for the state of their logs.
 const peerPollInterval = 100 * time.Millisecond
 
-// gate is a listener that accepts no connections until it is opened.
-type gate struct {
+// gatedListener is a listener that accepts no connections until it is opened.
+type gatedListener struct {
 	net.Listener
 	closeOnce   sync.Once
 	openSignal  chan struct{} // closed to open the gate
 	closeSignal chan struct{} // closed by Close
 }
 
-func (g *gate) isOpen() bool {
+func (g *gatedListener) isOpen() bool {
 	select {
 	case <-g.openSignal:
 		return true
@@ -50,7 +50,7 @@
 }
 
 // Accept waits until the gate is open, and then for a connection. It returns net.ErrClosed if the gate is closed before it is opened.
-func (g *gate) Accept() (net.Conn, error) {
+func (g *gatedListener) Accept() (net.Conn, error) {
 	select {
 	case <-g.openSignal:
 		return g.Listener.Accept()
@@ -60,7 +60,7 @@
 }
 
 // Close closes the listener and ends a waiting Accept.
-func (g *gate) Close() error {
+func (g *gatedListener) Close() error {
 	g.closeOnce.Do(func() { close(g.closeSignal) })
 	return g.Listener.Close()
 }
--- a/agent/journal.go
+++ b/agent/journal.go
@@ -64,7 +64,7 @@
 // streamLayer makes and accepts the connections for replication. It connects from the agent's source address and tells the others
 // the agent's advertised address.
 type streamLayer struct {
-	*gate
+	*gatedListener
 	sourceIP, advertisedAddress string
 }
 
@@ -127,12 +127,12 @@
 	addresses := map[string]string{name: cmp.Or(config.AdvertisedLogAddress, config.LogAddress)}
 	var nonvoters []string
 	for _, peer := range config.Peers {
-		addresses[peer.Name] = peer.Log
+		addresses[peer.Name] = peer.LogAddress
 		if peer.NonVoter {
 			nonvoters = append(nonvoters, peer.Name)
 		}
 	}
-	logGate := &gate{Listener: listener, openSignal: make(chan struct{}), closeSignal: make(chan struct{})}
+	logGate := &gatedListener{Listener: listener, openSignal: make(chan struct{}), closeSignal: make(chan struct{})}
 	transport := newGuardedTransport(raft.NewNetworkTransport(streamLayer{logGate, config.SourceAddress, addresses[name]}, 3, time.Second, io.Discard))
 	timeout, err := config.electionTimeout()
 	if err != nil {
--- a/agent/process_test.go
+++ b/agent/process_test.go
@@ -35,7 +35,7 @@
 				ready := make([]byte, 1)
 				_, err = stdout.Read(ready) // the helper process has started
 				require.NoError(t, err)
-				shim.Begin(sysfault.Fault{Call: sysfault.Open, Errors: []syscall.Errno{errno}, Chance: 1, Most: most})
+				shim.Begin(sysfault.Fault{Group: sysfault.Open, Errors: []syscall.Errno{errno}, Probability: 1, MaxFailures: most})
 				_, err = stdin.Write([]byte("\n"))
 				require.NoError(t, err)
 				found, err := io.ReadAll(stdout)
--- a/cmd/hatchlab/chaos.go
+++ b/cmd/hatchlab/chaos.go
@@ -31,7 +31,7 @@
 as long as it still fails; the seed, the shorter schedule and its record are written to a file. Run R of seed S is run 1 of
 seed S+R-1.`,
 		RunE: func(c *cobra.Command, args []string) error {
-			f, err := chaos.ReadFile(args[0])
+			f, err := chaos.ReadSpec(args[0])
 			if err != nil {
 				return err
 			}
@@ -60,12 +60,12 @@
 				return err
 			}
 			defer os.RemoveAll(folder)
-			m, err := chaos.Raise([]string{binary, "serve", "--log-level", "warn"}, folder, chaos.Layout{Agents: agents, Hear: agents - voters, Sites: 1, Seed: 1})
+			m, err := chaos.NewCluster([]string{binary, "serve", "--log-level", "warn"}, folder, chaos.ClusterConfig{AgentCount: agents, NonVoterCount: agents - voters, SiteCount: 1, Seed: 1})
 			if err != nil {
 				return err
 			}
 			defer m.Close()
-			s, err := m.Spread(c.Context(), commands, 10*time.Second)
+			s, err := m.MeasureSpread(c.Context(), commands, 10*time.Second)
 			if err != nil {
 				return err
 			}
@@ -73,7 +73,7 @@
 				return sorted[len(sorted)*percent/100].Round(100 * time.Microsecond)
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d agents, %d voters, %d commands: answered p50 %v, p99 %v; applied by all p50 %v, p99 %v; without commands %.0f bytes/s\n",
-				agents, voters, commands, percentile(s.First, 50), percentile(s.First, 99), percentile(s.All, 50), percentile(s.All, 99), s.Rest)
+				agents, voters, commands, percentile(s.AnswerTimes, 50), percentile(s.AnswerTimes, 99), percentile(s.ApplyTimes, 50), percentile(s.ApplyTimes, 99), s.IdleBytesPerSecond)
 			return nil
 		},
 	}
@@ -86,20 +86,20 @@
 
 // runChaos runs the schedules of consecutive seeds, some of them in parallel, and prints what they came to. It returns
 // errChecksFailed if a schedule broke a rule, and the first error of a schedule that could not be run.
-func runChaos(ctx context.Context, out io.Writer, f *chaos.File, binary, outputFolder string, seed int64, runs, parallel int) error {
+func runChaos(ctx context.Context, out io.Writer, f *chaos.Spec, binary, outputFolder string, seed int64, runs, parallel int) error {
 	runSchedule := func(seed int64, faults []chaos.Fault) (chaos.Record, []chaos.Breach, error) {
 		folder, err := os.MkdirTemp("", "hc")
 		if err != nil {
 			return chaos.Record{}, nil, err
 		}
 		defer os.RemoveAll(folder)
-		m, err := chaos.Raise([]string{binary, "serve", "--log-level", "warn"}, folder, f.Layout(seed))
+		m, err := chaos.NewCluster([]string{binary, "serve", "--log-level", "warn"}, folder, f.ClusterConfig(seed))
 		if err != nil {
 			return chaos.Record{}, nil, err
 		}
 		defer m.Close()
-		r, err := m.Play(ctx, faults)
-		return r, chaos.Judge(r, f.Bound()), err
+		r, err := m.RunSchedule(ctx, faults)
+		return r, chaos.FindBreaches(r, f.SettleBound()), err
 	}
 	var mu sync.Mutex
 	var settled []time.Duration
@@ -110,7 +110,7 @@
 	for range parallel {
 		workers.Go(func() {
 			for s := range seeds {
-				schedule := f.Drawn(s)
+				schedule := f.Schedule(s)
 				r, breaches, err := runSchedule(s, schedule)
 				if ctx.Err() != nil {
 					continue // interrupted: the record is incomplete and proves nothing
@@ -119,12 +119,12 @@
 				for _, x := range schedule {
 					faultCounts[x.Kind]++
 				}
-				for _, x := range r.Said {
+				for _, x := range r.Submissions {
 					if x.Number > 0 {
 						answered++
 					}
 				}
-				settled = append(settled, r.Settled)
+				settled = append(settled, r.AgentSettleTime)
 				if err != nil && firstErr == nil {
 					firstErr = fmt.Errorf("seed %d: %w", s, err)
 				}
@@ -144,7 +144,7 @@
 					return false
 				})
 				path := filepath.Join(outputFolder, fmt.Sprintf("chaos-%d.txt", s))
-				text := fmt.Sprintf("seed %d\nbreaches: %v\nshorter schedule: %v\n\n%s", s, breaches, shortened, r.Tell())
+				text := fmt.Sprintf("seed %d\nbreaches: %v\nshorter schedule: %v\n\n%s", s, breaches, shortened, r.Timeline())
 				mu.Lock()
 				fmt.Fprintf(out, "seed %d failed: %v; the record is in %s\n", s, breaches, path)
 				if err := os.WriteFile(path, []byte(text), 0o600); err != nil && firstErr == nil {
--- a/cmd/hatchlab/compare.go
+++ b/cmd/hatchlab/compare.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"hatchproxy/lab/experiment"
-	"hatchproxy/lab/rogue"
+	"hatchproxy/lab/testproxy"
 )
 
 func compareCommand() *cobra.Command {
@@ -176,7 +176,7 @@
 				return err
 			}
 			servers := strings.Split(args[1], ",")
-			return rogue.Relay(l, func() []string { return servers })
+			return testproxy.Relay(l, func() []string { return servers })
 		},
 	}
 }
--- a/cmd/hatchlab/fleet.go
+++ b/cmd/hatchlab/fleet.go
@@ -24,12 +24,12 @@
 			if err != nil {
 				return err
 			}
-			servers, err := fleet.Start(ledger.Open(), f.Plan(), f.Seeds[0])
+			servers, err := fleet.Start(ledger.NewEventLog(), f.Plan(), f.Seeds[0])
 			if err != nil {
 				return err
 			}
 			defer servers.Stop()
-			front, err := servers.FrontAt(discovery)
+			front, err := servers.StartDiscoveryAt(discovery)
 			if err != nil {
 				return err
 			}
--- a/cmd/hatchproxy/faults_test.go
+++ b/cmd/hatchproxy/faults_test.go
@@ -40,7 +40,7 @@
 type faultedProxy struct {
 	t          *testing.T
 	address    string
-	list       *fleet.Hand
+	list       *fleet.ManualDiscovery
 	configPath string
 	command    *exec.Cmd
 	shim       *sysfault.Shim
@@ -51,7 +51,7 @@
 // launchOptions are the options with which a proxy process is started.
 type launchOptions struct {
 	serverAnswer string // answer of the server to each request
-	faultGroups  []sysfault.Call
+	faultGroups  []sysfault.CallGroup
 	faults       []sysfault.Fault // in effect from the first system call on
 	adminAddress string           // none if empty
 	address      string           // for clients; a free one if empty
@@ -60,7 +60,7 @@
 
 // newFaultedProxy starts a proxy with one server, which answers with serverAnswer. The faults apply from the first system
 // call on.
-func newFaultedProxy(t *testing.T, answer string, groups []sysfault.Call, faults ...sysfault.Fault) *faultedProxy {
+func newFaultedProxy(t *testing.T, answer string, groups []sysfault.CallGroup, faults ...sysfault.Fault) *faultedProxy {
 	return launchOptions{serverAnswer: answer, faultGroups: groups, faults: faults}.start(t)
 }
 
@@ -80,11 +80,11 @@
 func (l launchOptions) start(t *testing.T) *faultedProxy {
 	path, err := buildProxy()
 	require.NoError(t, err)
-	list, err := fleet.ByHand()
+	list, err := fleet.StartManualDiscovery()
 	require.NoError(t, err)
-	server, err := fleet.NewPuppet(func(string) string { return l.serverAnswer })
+	server, err := fleet.StartScriptedServer(func(string) string { return l.serverAnswer })
 	require.NoError(t, err)
-	list.Set("s1", server.Address, "ready")
+	list.SetServer("s1", server.Address, "ready")
 	dir := t.TempDir()
 	p := &faultedProxy{t: t, address: cmp.Or(l.address, freeAddress(t)), list: list, ended: make(chan struct{}), logPath: filepath.Join(dir, "log"),
 		configPath: filepath.Join(dir, "config.json")}
@@ -109,7 +109,7 @@
 	t.Cleanup(func() {
 		_ = p.command.Process.Kill()
 		<-p.ended
-		<-p.shim.Ended()
+		<-p.shim.Done()
 		if text, err := os.ReadFile(p.logPath); err == nil && t.Failed() {
 			t.Logf("log of the proxy:\n%s", text)
 		}
@@ -118,7 +118,7 @@
 }
 
 // configure replaces the configuration file atomically.
-func (p *faultedProxy) configure(list *fleet.Hand, adminAddress string) {
+func (p *faultedProxy) configure(list *fleet.ManualDiscovery, adminAddress string) {
 	text := strings.Replace(configTemplate, `"rev":900`, `"rev":0`, 1)
 	text = strings.Replace(text, `"hard-limit-ms":300.0`, `"hard-limit-ms":1800.0`, 1)
 	if adminAddress != "" {
@@ -165,10 +165,10 @@
 // Guards against the incident of 2026-12-02: a transient failure of accept ended the event loop, pending requests were closed
 // without an answer, and the process exited with code 0.
 func TestFailedAcceptsEndNoRequest(t *testing.T) {
-	for _, errno := range append(sysfault.Usual[sysfault.Accept], unix.EPROTO, unix.ENETDOWN) {
+	for _, errno := range append(sysfault.TransientErrors[sysfault.Accept], unix.EPROTO, unix.ENETDOWN) {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			t.Parallel()
-			p := newFaultedProxy(t, "NONE", []sysfault.Call{sysfault.Accept})
+			p := newFaultedProxy(t, "NONE", []sysfault.CallGroup{sysfault.Accept})
 			p.waitReady()
 			pending, err := net.Dial("tcp", p.address)
 			require.NoError(t, err)
@@ -177,8 +177,8 @@
 			_, err = pending.Write([]byte("OPEN 1 2 c=chat,d=1000\r\n"))
 			require.NoError(t, err)
 			p.waitReady() // the proxy has read the request by now
-			p.shim.Begin(sysfault.Fault{Call: sysfault.Accept, Errors: []syscall.Errno{errno}, Chance: 1, Most: 3})
-			for p.shim.Failed()[sysfault.Accept][unix.ErrnoName(errno)] < 3 {
+			p.shim.Begin(sysfault.Fault{Group: sysfault.Accept, Errors: []syscall.Errno{errno}, Probability: 1, MaxFailures: 3})
+			for p.shim.Failures()[sysfault.Accept][unix.ErrnoName(errno)] < 3 {
 				line, err := p.roundTrip("PING", 2*time.Second)
 				p.requireRunning()
 				require.NoError(t, err)
@@ -195,10 +195,10 @@
 // Transient failures to create a socket or to accept at the start must only delay the proxy. Failures to create the poller
 // are not tested, because the Go runtime itself exits then.
 func TestStartRetriesSocketAndAccept(t *testing.T) {
-	for group, failures := range map[sysfault.Call]int{sysfault.Socket: 6, sysfault.Accept: 6} {
+	for group, failures := range map[sysfault.CallGroup]int{sysfault.Socket: 6, sysfault.Accept: 6} {
 		t.Run(string(group), func(t *testing.T) {
 			t.Parallel()
-			p := newFaultedProxy(t, "UP a", []sysfault.Call{group}, sysfault.Fault{Call: group, Chance: 1, Most: failures})
+			p := newFaultedProxy(t, "UP a", []sysfault.CallGroup{group}, sysfault.Fault{Group: group, Probability: 1, MaxFailures: failures})
 			p.waitReady()
 			require.Eventually(t, func() bool {
 				line, err := p.roundTrip("OPEN 1 2 c=chat,d=1000", 2*time.Second)
@@ -211,11 +211,11 @@
 // A single failure at the start, of any registration with a poller or of any opened file, must not keep the proxy from
 // serving. The first calls are skipped: they belong to the dynamic loader and the Go runtime, which cannot do without them.
 func TestStartSurvivesAnySingleFailure(t *testing.T) {
-	for group, first := range map[sysfault.Call]int{sysfault.Control: 1, sysfault.Open: 2} {
+	for group, first := range map[sysfault.CallGroup]int{sysfault.Control: 1, sysfault.Open: 2} {
 		for skip := first; skip <= 24; skip++ {
 			t.Run(fmt.Sprint(group, " number ", skip+1), func(t *testing.T) {
 				t.Parallel()
-				p := newFaultedProxy(t, "UP a", []sysfault.Call{group}, sysfault.Fault{Call: group, Chance: 1, Skip: skip, Most: 1})
+				p := newFaultedProxy(t, "UP a", []sysfault.CallGroup{group}, sysfault.Fault{Group: group, Probability: 1, Skip: skip, MaxFailures: 1})
 				p.waitReady()
 				line, err := p.roundTrip("OPEN 1 2 c=chat,d=1000", 2*time.Second)
 				require.NoError(t, err)
@@ -230,7 +230,7 @@
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer taken.Close()
-	p := launchOptions{serverAnswer: "UP a", faultGroups: []sysfault.Call{sysfault.Accept}, address: taken.Addr().String()}.start(t)
+	p := launchOptions{serverAnswer: "UP a", faultGroups: []sysfault.CallGroup{sysfault.Accept}, address: taken.Addr().String()}.start(t)
 	require.Eventually(t, func() bool {
 		text, err := os.ReadFile(p.logPath)
 		return err == nil && strings.Contains(string(text), "cannot listen on the address, retrying")
@@ -246,19 +246,19 @@
 
 // A connection attempt that fails because this machine is short of a resource must not count against the server.
 func TestDialIsRetriedOnResourceShortage(t *testing.T) {
-	for group, errnos := range map[sysfault.Call][]syscall.Errno{
-		sysfault.Socket:  sysfault.Usual[sysfault.Socket],
-		sysfault.Connect: {unix.EADDRNOTAVAIL},
-		sysfault.Copy:    sysfault.Usual[sysfault.Copy],
-		sysfault.Control: sysfault.Usual[sysfault.Control],
+	for group, errnos := range map[sysfault.CallGroup][]syscall.Errno{
+		sysfault.Socket:    sysfault.TransientErrors[sysfault.Socket],
+		sysfault.Connect:   {unix.EADDRNOTAVAIL},
+		sysfault.Duplicate: sysfault.TransientErrors[sysfault.Duplicate],
+		sysfault.Control:   sysfault.TransientErrors[sysfault.Control],
 	} {
 		t.Run(string(group), func(t *testing.T) {
 			t.Parallel()
-			p := newFaultedProxy(t, "UP a", []sysfault.Call{group})
+			p := newFaultedProxy(t, "UP a", []sysfault.CallGroup{group})
 			p.waitReady()
 			for n := 1; n <= 4; n++ {
 				// more failures than a request has attempts, which are three
-				p.shim.Begin(sysfault.Fault{Call: group, Errors: errnos, Chance: 1, Most: 4})
+				p.shim.Begin(sysfault.Fault{Group: group, Errors: errnos, Probability: 1, MaxFailures: 4})
 				line, err := p.roundTrip(fmt.Sprintf("OPEN %d 2 c=chat,d=1500", n), 2*time.Second)
 				require.NoError(t, err)
 				require.Equal(t, "UP a\r\n", line)
@@ -270,18 +270,18 @@
 // Reading the configuration must be retried after transient failures: the list of the new discovery service has to take effect
 // soon after SIGHUP, even if the file could not be read at first.
 func TestReadingTheConfigurationIsRetried(t *testing.T) {
-	for _, errno := range sysfault.Usual[sysfault.Open] {
+	for _, errno := range sysfault.TransientErrors[sysfault.Open] {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			t.Parallel()
-			p := newFaultedProxy(t, "UP a", []sysfault.Call{sysfault.Open})
+			p := newFaultedProxy(t, "UP a", []sysfault.CallGroup{sysfault.Open})
 			p.waitReady()
-			next, err := fleet.ByHand()
+			next, err := fleet.StartManualDiscovery()
 			require.NoError(t, err)
 			p.configure(next, "")
-			p.shim.Begin(sysfault.Fault{Call: sysfault.Open, Errors: []syscall.Errno{errno}, Chance: 1, Most: 3})
+			p.shim.Begin(sysfault.Fault{Group: sysfault.Open, Errors: []syscall.Errno{errno}, Probability: 1, MaxFailures: 3})
 			require.NoError(t, p.command.Process.Signal(syscall.SIGHUP))
-			require.Eventually(t, func() bool { return next.Calls() > 0 }, 3*time.Second, 10*time.Millisecond, "the new service is called")
-			require.Equal(t, 3, p.shim.Failed()[sysfault.Open][unix.ErrnoName(errno)])
+			require.Eventually(t, func() bool { return next.RequestCount() > 0 }, 3*time.Second, 10*time.Millisecond, "the new service is called")
+			require.Equal(t, 3, p.shim.Failures()[sysfault.Open][unix.ErrnoName(errno)])
 		})
 	}
 }
@@ -300,7 +300,7 @@
 			if closed {
 				require.NoError(t, reader.Close())
 			}
-			p := launchOptions{serverAnswer: "UP a", faultGroups: []sysfault.Call{sysfault.Accept}, stderr: writer}.start(t)
+			p := launchOptions{serverAnswer: "UP a", faultGroups: []sysfault.CallGroup{sysfault.Accept}, stderr: writer}.start(t)
 			p.waitReady()
 			for range 60 { // each is logged
 				require.NoError(t, p.command.Process.Signal(syscall.SIGHUP))
@@ -323,11 +323,11 @@
 // The admin API must remain available after transient failures of accept.
 func TestAdminSurvivesFailedAccepts(t *testing.T) {
 	address := freeAddress(t)
-	p := launchOptions{serverAnswer: "UP a", faultGroups: []sysfault.Call{sysfault.Accept}, adminAddress: address}.start(t)
+	p := launchOptions{serverAnswer: "UP a", faultGroups: []sysfault.CallGroup{sysfault.Accept}, adminAddress: address}.start(t)
 	p.waitReady()
 	client := http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for _, errno := range sysfault.Usual[sysfault.Accept] {
-		end := p.shim.Begin(sysfault.Fault{Call: sysfault.Accept, Errors: []syscall.Errno{errno}, Chance: 1})
+	for _, errno := range sysfault.TransientErrors[sysfault.Accept] {
+		end := p.shim.Begin(sysfault.Fault{Group: sysfault.Accept, Errors: []syscall.Errno{errno}, Probability: 1})
 		time.AfterFunc(50*time.Millisecond, end)
 		response, err := client.Get("http://" + address + "/api/telemetry")
 		require.NoError(t, err, unix.ErrnoName(errno))
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -61,40 +61,40 @@
 }
 
 func TestASecondCallIsMadeBesideAnOverdueOne(t *testing.T) {
-	for name, stall := range map[string]func(*fleet.Hand, <-chan int64){
-		"a watch": func(list *fleet.Hand, versions <-chan int64) {
+	for name, stall := range map[string]func(*fleet.ManualDiscovery, <-chan int64){
+		"a watch": func(list *fleet.ManualDiscovery, versions <-chan int64) {
 			require.Equal(t, int64(1), nextVersion(t, versions))
-			require.Eventually(t, func() bool { return list.Calls() > 1 }, time.Second, time.Millisecond)
-			list.Hush()
+			require.Eventually(t, func() bool { return list.RequestCount() > 1 }, time.Second, time.Millisecond)
+			list.SilenceOpenRequests()
 		},
-		"the first poll": func(list *fleet.Hand, versions <-chan int64) {
-			require.Eventually(t, func() bool { return list.Calls() > 0 }, time.Second, time.Millisecond)
-			list.Break("")
+		"the first poll": func(list *fleet.ManualDiscovery, versions <-chan int64) {
+			require.Eventually(t, func() bool { return list.RequestCount() > 0 }, time.Second, time.Millisecond)
+			list.SetFailure("")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			list, err := fleet.ByHand()
+			list, err := fleet.StartManualDiscovery()
 			require.NoError(t, err)
-			list.Set("s0", "127.0.0.1:1", "ready")
+			list.SetServer("s0", "127.0.0.1:1", "ready")
 			if name == "the first poll" {
-				list.Break("silent")
+				list.SetFailure("silent")
 			}
 			versions := followVersions(t, list.Address(), 300*time.Millisecond)
 			stall(list, versions)
 			began := time.Now()
-			list.Set("s0", "", "draining")
+			list.SetServer("s0", "", "draining")
 			require.Equal(t, int64(2), nextVersion(t, versions))
 			require.Less(t, time.Since(began), 2300*time.Millisecond, "a change that a watch misses is received within 2 s after its hold time")
-			require.Eventually(t, func() bool { return list.Calls() > 3 }, 2*time.Second, time.Millisecond, "a watch follows")
+			require.Eventually(t, func() bool { return list.RequestCount() > 3 }, 2*time.Second, time.Millisecond, "a watch follows")
 		})
 	}
 }
 
 func TestFollowEndsWhenTheServiceRejectsACall(t *testing.T) {
-	list, err := fleet.ByHand()
+	list, err := fleet.StartManualDiscovery()
 	require.NoError(t, err)
-	list.Break("down")
+	list.SetFailure("down")
 	began := time.Now()
 	err = discovery.NewClient(list.Address(), time.Second).Follow(context.Background(), discovery.NoVersion, nil)
 	require.ErrorContains(t, err, "503")
--- a/internal/proxy/admin_test.go
+++ b/internal/proxy/admin_test.go
@@ -32,15 +32,15 @@
 	s.waitForMetrics("current 0", "cluster_size 1", "cluster_unhealthy 0", `transactions{group="pay",state="answered"} 0`)
 	s.openRequest("c=pay,d=700").expectLine("BUSY") // sent three times, and each time refused by the server
 	s.waitForMetrics("sends 3", `transactions{group="pay",state="deferred"} 1`, "cluster_unhealthy 1")
-	s.list.Set("s0", "", "gone")
-	erring, err := fleet.NewPuppet(func(line string) string {
+	s.list.SetServer("s0", "", "gone")
+	erring, err := fleet.StartScriptedServer(func(line string) string {
 		if strings.Contains(line, "x=1") {
 			return "ERR"
 		}
 		return "UP a"
 	})
 	require.NoError(t, err)
-	s.list.Set("s1", erring.Address, "ready")
+	s.list.SetServer("s1", erring.Address, "ready")
 	s.waitForMetrics("cluster_size 1", "cluster_unhealthy 0")
 	s.openRequest("x=1,c=pay,d=700").expectLine("ERR")
 	s.dial("OPEN 77 7 c=none,d=5\r\n").expectLine("ERR the class is unknown") // not a configured class
@@ -52,11 +52,11 @@
 	s.waitForMetrics("sends 6", "current 2", `transactions{group="chat",state="answered"} 2`)
 	require.NoError(t, a.Close())
 	require.NoError(t, b.Close())
-	erring.Stop()
+	erring.CloseListener()
 	s.waitForMetrics("current 0")
 	s.openRequest("c=chat,d=700").expectLine("BUSY")
 	s.waitForMetrics("sends 6", `transactions{group="chat",state="deferred"} 1`, `transactions{group="chat",state="errored"} 0`)
-	require.Len(t, servers[0].Lines(), 3)
+	require.Len(t, servers[0].FirstLines(), 3)
 }
 
 // expectPingAnswer sends a health check on a new connection and checks its answer.
@@ -139,7 +139,7 @@
 func TestEvacuatingProxyFollowsTheListAndReloadsConfig(t *testing.T) {
 	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, (*proxy.Proxy).EnableMetrics, "UP a", "UP b")
 	require.NoError(t, s.proxy.Evacuate(context.Background()))
-	s.list.Set("s0", servers[0].Address, "draining")
+	s.list.SetServer("s0", servers[0].Address, "draining")
 	s.waitForMetrics("cluster_size 2", "cluster_unhealthy 1")
 	s.reloadConfig(strings.Replace(configWithoutProbes, "0.name=chat", "0.name=chat-2", 1), "chat-2", "pay")
 	s.waitForMetrics("conf_loaded 1")
@@ -150,7 +150,7 @@
 		s.openRequest("c=chat-2,d=1500").expectLine("UP b")
 	}
 	s.openRequest("c=chat,d=1500").expectLine("ERR the class is unknown")
-	require.Empty(t, servers[0].Lines())
+	require.Empty(t, servers[0].FirstLines())
 }
 
 func TestClientsThatDoNotReadAreMovedAllTheSame(t *testing.T) {
--- a/internal/proxy/control_test.go
+++ b/internal/proxy/control_test.go
@@ -70,8 +70,8 @@
 		c.expectLine("MOVE")
 		c.expectEnd(false)
 	}
-	s.list.Set("s1", "", "ready") // changes of the list leave the order in force
-	s.list.Set("s0", "", "ready")
+	s.list.SetServer("s1", "", "ready") // changes of the list leave the order in force
+	s.list.SetServer("s0", "", "ready")
 	s.openRequest("c=chat,d=1500").expectLine("UP b")
 	st, err := client.Status(ctx)
 	require.NoError(t, err)
@@ -198,7 +198,7 @@
 		require.NoError(t, err)
 		require.Regexp(t, `^BUSY [1-9]\d{2,3}\r\n$`, line, "the time until there is room")
 	}
-	require.Len(t, servers[0].Lines(), 2)
+	require.Len(t, servers[0].FirstLines(), 2)
 	st, err := s.proxy.Status(context.Background())
 	require.NoError(t, err)
 	require.EqualValues(t, 5, st.RefusedByLimit["set-ups"])
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -24,8 +24,8 @@
 	*testing.T
 	socket *net.TCPListener
 	folder string
-	list   *fleet.Hand
-	server *fleet.Puppet
+	list   *fleet.ManualDiscovery
+	server *fleet.ScriptedServer
 }
 
 // newHandoverEnv returns an environment with one server, which never answers requests with x=1.
@@ -35,16 +35,16 @@
 	require.NoError(t, err)
 	folder, err := os.MkdirTemp("", "hs")
 	require.NoError(t, err)
-	list, err := fleet.ByHand()
+	list, err := fleet.StartManualDiscovery()
 	require.NoError(t, err)
-	server, err := fleet.NewPuppet(func(line string) string {
+	server, err := fleet.StartScriptedServer(func(line string) string {
 		if strings.Contains(line, "x=1") {
 			return "NONE"
 		}
 		return "UP a"
 	})
 	require.NoError(t, err)
-	list.Set("s0", server.Address, "ready")
+	list.SetServer("s0", server.Address, "ready")
 	h := &handoverEnv{t, l.(*net.TCPListener), folder, list, server}
 	t.Cleanup(func() {
 		_ = l.Close()
@@ -124,12 +124,12 @@
 		prober.expectLine("PONG")
 		first = second
 	}
-	require.Equal(t, 2, h.server.Conns(), "no connection to the server was made anew")
+	require.Equal(t, 2, h.server.ConnCount(), "no connection to the server was made anew")
 	partial.send("at,d=1500\r\n")
 	partial.expectLine("UP a")
-	fleet.Reset(toReset.Conn)
+	fleet.ResetConn(toReset.Conn)
 	first.waitForClients(2)
-	require.NoError(t, h.server.Last().Close())
+	require.NoError(t, h.server.LastConn().Close())
 	partial.expectEnd(false)
 	first.openRequest("c=chat,d=1500").expectLine("UP a")
 }
@@ -145,7 +145,7 @@
 	oneShot.expectLine("ERR")
 	first.waitForExit(3 * time.Second)
 	var lines []string
-	for _, line := range h.server.Lines() {
+	for _, line := range h.server.FirstLines() {
 		if strings.Contains(line, "c=pay") {
 			lines = append(lines, line)
 		}
@@ -222,14 +222,14 @@
 // either may still send requests.
 func TestServerDrainDuringHandoverBindsBothProcesses(t *testing.T) {
 	h := newHandoverEnv(t)
-	other, err := fleet.NewPuppet(func(string) string { return "UP b" })
+	other, err := fleet.StartScriptedServer(func(string) string { return "UP b" })
 	require.NoError(t, err)
 	first := h.startProcess()
 	c := first.openRequest("c=chat,d=1500")
 	c.expectLine("UP a")
 	second := h.startProcess()
-	h.list.Set("s1", other.Address, "ready")
-	h.list.Set("s0", h.server.Address, "draining")
+	h.list.SetServer("s1", other.Address, "ready")
+	h.list.SetServer("s0", h.server.Address, "draining")
 	first.waitForMetrics("cluster_size 2", "cluster_unhealthy 1")
 	second.waitForMetrics("cluster_size 2", "cluster_unhealthy 1")
 	c.expectLine("MOVE") // by the process that holds it
@@ -239,7 +239,7 @@
 	first.leaveSignals <- syscall.SIGTERM
 	first.waitForExit(3 * time.Second)
 	second.openRequest("c=chat,d=1500").expectLine("UP b")
-	require.Len(t, h.server.Lines(), 1)
+	require.Len(t, h.server.FirstLines(), 1)
 }
 
 // A successor that connects, hangs and then ends was never ready: the predecessor must serve on, and the next successor must
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -18,8 +18,8 @@
 	established := s.openRequest("c=chat,d=1500")
 	established.expectLine("UP a")
 	partial := s.dial("OPEN 77 ")
-	servers[0].Stop()
-	s.list.Set("s0", "", "gone")
+	servers[0].CloseListener()
+	s.list.SetServer("s0", "", "gone")
 	pending := s.openRequest("c=pay,d=1500")
 	s.waitUntilClientGone("0") // the proxy has read all requests
 	s.proxy.EndLoop()
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -27,7 +27,7 @@
 type harness struct {
 	*testing.T
 	listenAddr    string
-	list          *fleet.Hand
+	list          *fleet.ManualDiscovery
 	leaveSignals  chan os.Signal
 	reloadSignals chan os.Signal
 	readConfig    func() (proxy.ReloadedConfig, error) // what a reload reads
@@ -66,12 +66,12 @@
 
 // startProxy starts a proxy with one server for each answer, named s0, s1 and so on; a server gives its answer to each
 // request line.
-func startProxy(t *testing.T, sockets int64, answers ...string) (*harness, []*fleet.Puppet) {
+func startProxy(t *testing.T, sockets int64, answers ...string) (*harness, []*fleet.ScriptedServer) {
 	return startProxyWith(t, sockets, func(*proxy.Proxy) {}, answers...)
 }
 
 // startProxyWith also runs configure on the proxy before it starts.
-func startProxyWith(t *testing.T, sockets int64, configure func(*proxy.Proxy), answers ...string) (*harness, []*fleet.Puppet) {
+func startProxyWith(t *testing.T, sockets int64, configure func(*proxy.Proxy), answers ...string) (*harness, []*fleet.ScriptedServer) {
 	return startProxyWithConfig(t, baseConfig, sockets, configure, answers...)
 }
 
@@ -81,15 +81,15 @@
 
 // startProxyWithConfig is startProxyWith with a configuration other than baseConfig. The proxy has the list when it
 // returns.
-func startProxyWithConfig(t *testing.T, config string, sockets int64, configure func(*proxy.Proxy), answers ...string) (*harness, []*fleet.Puppet) {
+func startProxyWithConfig(t *testing.T, config string, sockets int64, configure func(*proxy.Proxy), answers ...string) (*harness, []*fleet.ScriptedServer) {
 	t.Parallel()
-	list, err := fleet.ByHand()
+	list, err := fleet.StartManualDiscovery()
 	require.NoError(t, err)
-	var servers []*fleet.Puppet
+	var servers []*fleet.ScriptedServer
 	for i, answer := range answers {
-		s, err := fleet.NewPuppet(func(string) string { return answer })
+		s, err := fleet.StartScriptedServer(func(string) string { return answer })
 		require.NoError(t, err)
-		list.Set(fmt.Sprint("s", i), s.Address, "ready")
+		list.SetServer(fmt.Sprint("s", i), s.Address, "ready")
 		servers = append(servers, s)
 	}
 	placeholder, err := net.Listen("tcp", uniqueHost()+":0")
@@ -129,7 +129,7 @@
 }
 
 // testOptions returns the options of a proxy with the classes chat and pay.
-func testOptions(log *slog.Logger, b *logic.Balancer, listen string, list *fleet.Hand, sockets int64) proxy.Options {
+func testOptions(log *slog.Logger, b *logic.Balancer, listen string, list *fleet.ManualDiscovery, sockets int64) proxy.Options {
 	const hardLimit = 1500 * logic.Millisecond
 	return proxy.Options{Log: log, Balancer: b, Listen: listen, Discovery: discovery.NewClient(list.Address(), time.Second),
 		Classes: []string{"chat", "pay"}, HardLimits: []logic.Micros{hardLimit, hardLimit}, Zones: []string{"a"}, Models: []string{"m"},
@@ -192,20 +192,20 @@
 	c.send("M 1 odd = words\r\nM 2\r\n")
 	c.expectLine("M 1 odd = words")
 	c.expectLine("M 2")
-	line := servers[0].Lines()[0]
+	line := servers[0].FirstLines()[0]
 	require.Regexp(t, `^OPEN [0-9a-f]{16} 7f3a x=1,c=chat,d=1?\d{2,3},g=5c$`, line, "only the wait is replaced by the proxy's own")
-	require.NoError(t, servers[0].Last().Close())
+	require.NoError(t, servers[0].LastConn().Close())
 	c.expectEnd(false)
 
 	c = s.openRequest("c=chat,d=1500")
 	c.expectLine("UP toy")
-	fleet.Reset(servers[0].Last())
+	fleet.ResetConn(servers[0].LastConn())
 	c.expectEnd(true)
 
 	c = s.openRequest("c=chat,d=1500")
 	c.expectLine("UP toy")
-	fleet.Reset(c.Conn)
-	_, err := servers[0].Last().Read(make([]byte, 1))
+	fleet.ResetConn(c.Conn)
+	_, err := servers[0].LastConn().Read(make([]byte, 1))
 	require.Error(t, err, "the server's connection ends with the client's")
 }
 
@@ -230,29 +230,29 @@
 			c.expectLine(want.said)
 			c.expectEnd(false)
 			require.Less(t, time.Since(start), 720*time.Millisecond, "before the client gives up")
-			require.Len(t, servers[0].Lines(), want.tries)
+			require.Len(t, servers[0].FirstLines(), want.tries)
 		})
 	}
 }
 
 func TestARequestToAnUnreachableServerIsPushedBack(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP a")
-	servers[0].Stop()
+	servers[0].CloseListener()
 	c := s.openRequest("c=pay,d=700")
 	c.expectLine("BUSY")
 }
 
 func TestAHarmlessRequestMovesOnFromAHungServer(t *testing.T) {
 	s, _ := startProxy(t, 1024, "UP c")
-	hung, err := fleet.NewPuppet(func(string) string { return "NONE" })
+	hung, err := fleet.StartScriptedServer(func(string) string { return "NONE" })
 	require.NoError(t, err)
 	s.openRequest("c=chat,d=1500").expectLine("UP c")
-	s.list.Set("s8", hung.Address, "ready")
+	s.list.SetServer("s8", hung.Address, "ready")
 	time.Sleep(50 * time.Millisecond)
 	for range 4 {
 		s.openRequest("c=chat,d=1500").expectLine("UP c")
 	}
-	require.NotEmpty(t, hung.Lines(), "the hung server was tried, since it held the fewest connections")
+	require.NotEmpty(t, hung.FirstLines(), "the hung server was tried, since it held the fewest connections")
 }
 
 func TestWrongLinesGetOnePlainLineAndTheEnd(t *testing.T) {
@@ -284,7 +284,7 @@
 		_, err := c.reader.ReadByte()
 		require.Error(t, err)
 	}
-	require.Empty(t, servers[0].Lines())
+	require.Empty(t, servers[0].FirstLines())
 }
 
 func TestTheIdOfAnOpenConnectionIsNotSentOnAgain(t *testing.T) {
@@ -295,7 +295,7 @@
 	require.NoError(t, c.Close())
 	time.Sleep(50 * time.Millisecond)
 	s.dial("OPEN 5 1 c=chat,d=1500\r\n").expectLine("UP a")
-	require.Len(t, servers[0].Lines(), 2)
+	require.Len(t, servers[0].FirstLines(), 2)
 }
 
 func TestASilentClientIsAnsweredWithinThreeSecondsOfConnecting(t *testing.T) {
@@ -353,7 +353,7 @@
 	for range 4 {
 		s.openRequest("c=chat,d=1500,at=s1").expectLine("UP b")
 	}
-	require.Empty(t, servers[0].Lines())
+	require.Empty(t, servers[0].FirstLines())
 	s.openRequest("c=chat,d=300,at=nowhere").expectLine("ERR")
 }
 
@@ -381,7 +381,7 @@
 	c, cut := s.openRequest("c=chat,d=1500"), s.openRequest("c=chat,d=1500")
 	c.expectLine("UP MUTE")
 	cut.expectLine("UP MUTE")
-	_, err := servers[0].Last().Write([]byte("half a "))
+	_, err := servers[0].LastConn().Write([]byte("half a "))
 	require.NoError(t, err)
 	start := time.Now()
 	c.send("M 1\r\n")
@@ -400,7 +400,7 @@
 	s, servers := startProxy(t, 1024, "UP a")
 	c := s.openRequest("c=chat,d=1500")
 	c.expectLine("UP a")
-	_, err := servers[0].Last().Write([]byte("half a "))
+	_, err := servers[0].LastConn().Write([]byte("half a "))
 	require.NoError(t, err)
 	start := time.Now()
 	s.leaveSignals <- syscall.SIGTERM
@@ -438,15 +438,15 @@
 	for _, broken := range []string{"down", "{", `{"rev":9,"all":true,"targets":[{"uid":"x","state":"odd"}]}`} {
 		t.Run(broken, func(t *testing.T) {
 			s, _ := startProxy(t, 1024, "UP a")
-			s.list.Break(broken)
-			calls := s.list.Calls()
-			require.Eventually(t, func() bool { return s.list.Calls() > calls+1 }, 6*time.Second, 20*time.Millisecond)
+			s.list.SetFailure(broken)
+			calls := s.list.RequestCount()
+			require.Eventually(t, func() bool { return s.list.RequestCount() > calls+1 }, 6*time.Second, 20*time.Millisecond)
 			s.openRequest("c=chat,d=1500").expectLine("UP a")
-			b, err := fleet.NewPuppet(func(string) string { return "UP b" })
+			b, err := fleet.StartScriptedServer(func(string) string { return "UP b" })
 			require.NoError(t, err)
-			s.list.Set("s0", "", "gone")
-			s.list.Set("s9", b.Address, "ready")
-			s.list.Break("")
+			s.list.SetServer("s0", "", "gone")
+			s.list.SetServer("s9", b.Address, "ready")
+			s.list.SetFailure("")
 			time.Sleep(2500 * time.Millisecond)
 			s.openRequest("c=chat,d=1500").expectLine("UP b")
 		})
@@ -460,12 +460,12 @@
 		defer c.Close()
 		c.expectLine("UP a")
 	}
-	require.Eventually(t, func() bool { return servers[0].Probes() > 2 }, 6*time.Second, 20*time.Millisecond)
-	require.Equal(t, 5, servers[0].Conns())
-	fleet.Reset(servers[0].Prober())
-	probes := servers[0].Probes()
-	require.Eventually(t, func() bool { return servers[0].Probes() > probes+1 }, 6*time.Second, 20*time.Millisecond)
-	require.Equal(t, 6, servers[0].Conns(), "a broken probe connection is replaced")
+	require.Eventually(t, func() bool { return servers[0].ProbeCount() > 2 }, 6*time.Second, 20*time.Millisecond)
+	require.Equal(t, 5, servers[0].ConnCount())
+	fleet.ResetConn(servers[0].LastProbeConn())
+	probes := servers[0].ProbeCount()
+	require.Eventually(t, func() bool { return servers[0].ProbeCount() > probes+1 }, 6*time.Second, 20*time.Millisecond)
+	require.Equal(t, 6, servers[0].ConnCount(), "a broken probe connection is replaced")
 }
 
 // Guards against reports of late messages that are taken for loads: nothing else shows that a server is slow, since it
@@ -476,7 +476,7 @@
 	defer c.Close()
 	line, err := c.reader.ReadString('\n')
 	require.NoError(t, err)
-	serverConn := servers[int(line[3]-'a')].Last()
+	serverConn := servers[int(line[3]-'a')].LastConn()
 	go func() {
 		_, _ = io.WriteString(serverConn, "LOAD 90000\r\n")
 		for range 12 {
--- a/internal/proxy/races_test.go
+++ b/internal/proxy/races_test.go
@@ -68,7 +68,7 @@
 			return c, nil
 		})
 	})
-	s.list.Set("s0", l.Addr().String(), "ready")
+	s.list.SetServer("s0", l.Addr().String(), "ready")
 	return s, conns
 }
 
@@ -142,7 +142,7 @@
 	server := <-conns
 	s.waitForMetrics("sends 1")
 	require.True(t, strings.Contains(readUntilQuiet(t, server), "OPEN"), "the request line at the server")
-	fleet.Reset(server)
+	fleet.ResetConn(server)
 	c.expectLine("ERR")
 	select {
 	case <-conns:
@@ -177,11 +177,11 @@
 		s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {})
 		require.NoError(t, s.dial("OPEN 99 7 c=pay,d=1500\r\n").Close())
 		s.waitUntilClientGone("99")
-		server, err := fleet.NewPuppet(nil)
+		server, err := fleet.StartScriptedServer(nil)
 		require.NoError(t, err)
-		s.list.Set("s0", server.Address, "ready")
+		s.list.SetServer("s0", server.Address, "ready")
 		s.openRequest("c=pay,d=1500").expectLine("UP puppet")
-		require.Len(t, server.Lines(), 1, "only the line of the client that is still connected")
+		require.Len(t, server.FirstLines(), 1, "only the line of the client that is still connected")
 	})
 	t.Run("waiting for a dial", func(t *testing.T) {
 		configure, dialled, release := holdDials()
@@ -189,7 +189,7 @@
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer l.Close()
-		s.list.Set("s0", l.Addr().String(), "ready")
+		s.list.SetServer("s0", l.Addr().String(), "ready")
 		c := s.dial("OPEN 99 7 c=pay,d=1500\r\n")
 		require.NoError(t, l.(*net.TCPListener).SetDeadline(time.Now().Add(5*time.Second)))
 		server, err := l.Accept()
@@ -213,7 +213,7 @@
 	for range 20 {
 		c := s.openRequest("c=chat,d=1500")
 		c.expectLine("UP a")
-		serverConn := servers[0].Last()
+		serverConn := servers[0].LastConn()
 		stop := make(chan struct{})
 		go func() {
 			for {
@@ -246,7 +246,7 @@
 	s.proxy.AnswerPending()
 	c.expectLine("BUSY")
 	close(release)
-	require.Empty(t, servers[0].Lines())
+	require.Empty(t, servers[0].FirstLines())
 }
 
 // A second signal to leave and a reload during leaving must not delay the end.
@@ -272,10 +272,10 @@
 	pending.expectLine("UP a")
 	s.leaveSignals <- syscall.SIGTERM
 	require.Eventually(t, func() bool { return s.openAndReadAnswer() == "BUSY" }, 2*time.Second, 5*time.Millisecond, "the proxy refuses new requests")
-	sent := len(servers[0].Lines())
+	sent := len(servers[0].FirstLines())
 	idle.send("OPEN 98 7 c=pay,d=1500\r\n")
 	idle.expectLine("BUSY")
-	require.Len(t, servers[0].Lines(), sent)
+	require.Len(t, servers[0].FirstLines(), sent)
 }
 
 // The client gets exactly one answer, even if its server sends two at once or sends something after the attempt is
@@ -302,7 +302,7 @@
 	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {}, "UP a")
 	c := s.openRequest("c=chat,d=1500")
 	c.expectLine("UP a")
-	server := servers[0].Last()
+	server := servers[0].LastConn()
 	_, err := io.WriteString(server, "M ")
 	require.NoError(t, err)
 	half, err := c.reader.Peek(2)
@@ -344,5 +344,5 @@
 		time.Sleep(100 * time.Millisecond) // the dial's result is queued for the loop, ahead of the client's end
 	})
 	s.waitForMetrics("current 0")
-	require.Empty(t, servers[0].Lines())
+	require.Empty(t, servers[0].FirstLines())
 }
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -33,7 +33,7 @@
 func TestClassesComeAndGoWhileOpenConnectionsGoOn(t *testing.T) {
 	s, _ := startProxyWith(t, 1024, (*proxy.Proxy).EnableMetrics)
 	received := make(chan struct{}, 20)
-	server, err := fleet.NewPuppet(func(line string) string {
+	server, err := fleet.StartScriptedServer(func(line string) string {
 		if strings.Contains(line, "x=1") {
 			received <- struct{}{}
 			return "NONE"
@@ -41,7 +41,7 @@
 		return "UP a"
 	})
 	require.NoError(t, err)
-	s.list.Set("s0", server.Address, "ready")
+	s.list.SetServer("s0", server.Address, "ready")
 	s.waitForMetrics("cluster_size 1")
 	established := s.openRequest("c=pay,d=1500")
 	established.expectLine("UP a")
--- a/internal/proxy/serverlist_test.go
+++ b/internal/proxy/serverlist_test.go
@@ -29,19 +29,19 @@
 // the proxy gave the call up too late, 4 s after the end of its long poll, and waited another second before the next.
 func TestDrainDuringSilentWatchIsNoticedBeforeItCountsAsDelivered(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP a", "UP b")
-	callsBefore := s.list.Calls()
-	require.Eventually(t, func() bool { return s.list.Calls() > callsBefore }, 5*time.Second, time.Millisecond, "a new watch")
-	s.list.Hush()
+	callsBefore := s.list.RequestCount()
+	require.Eventually(t, func() bool { return s.list.RequestCount() > callsBefore }, 5*time.Second, time.Millisecond, "a new watch")
+	s.list.SilenceOpenRequests()
 	silentSince := time.Now()
-	s.list.Set("s0", "", "draining")
-	calls := s.list.Calls()
-	require.Eventually(t, func() bool { return s.list.Calls() > calls+1 }, 5*time.Second, time.Millisecond,
+	s.list.SetServer("s0", "", "draining")
+	calls := s.list.RequestCount()
+	require.Eventually(t, func() bool { return s.list.RequestCount() > calls+1 }, 5*time.Second, time.Millisecond,
 		"another call and, as that was answered, the next watch")
 	require.Less(t, time.Since(silentSince), 3*time.Second, "a long poll of 1 s and the 2 s after which the drain counts as delivered")
 	for range 4 {
 		s.openRequest("c=chat,d=1500").expectLine("UP b")
 	}
-	require.Empty(t, servers[0].Lines())
+	require.Empty(t, servers[0].FirstLines())
 }
 
 // Guards against a request that is sent to a draining server, since the drain was announced while the dial was under way.
@@ -50,7 +50,7 @@
 	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, hold, "UP a")
 	first := s.openRequest("c=chat,d=1500")
 	<-dialled
-	s.list.Set("s0", "", "draining")
+	s.list.SetServer("s0", "", "draining")
 	require.Eventually(t, func() bool {
 		s.openRequest("c=chat,d=60").expectLine("BUSY")
 		select {
@@ -62,7 +62,7 @@
 	}, 5*time.Second, time.Millisecond, "the proxy has received the drain")
 	close(release)
 	first.expectLine("BUSY")
-	require.Empty(t, servers[0].Lines())
+	require.Empty(t, servers[0].FirstLines())
 }
 
 // The list of a discovery service counts as delivered a fixed time after a new configuration names the service, even if it
@@ -70,9 +70,9 @@
 func TestNothingIsSentByAnOutdatedList(t *testing.T) {
 	const grace = 200 * logic.Millisecond
 	s, servers := startProxyWith(t, 1024, func(p *proxy.Proxy) { p.SetListLimits(grace, 10*logic.Second, false) }, "UP a")
-	newService, err := fleet.ByHand()
+	newService, err := fleet.StartManualDiscovery()
 	require.NoError(t, err)
-	newService.Break("silent")
+	newService.SetFailure("silent")
 	s.readConfig = func() (proxy.ReloadedConfig, error) {
 		balancer, err := platformconfig.SettingsFromLines(baseConfig).NewBalancer(9)
 		return proxy.ReloadedConfig{Discovery: discovery.NewClient(newService.Address(), time.Second), Balancer: balancer, Classes: []string{"chat", "pay"},
@@ -88,14 +88,14 @@
 		return s.openAndReadAnswer() == "BUSY"
 	}, 9*time.Second, 20*time.Millisecond, "the new service's list counts as delivered by now")
 	require.Greater(t, outdatedAt.Sub(began), 4*time.Second, "the list is used as long as allowed")
-	sent := len(servers[0].Lines())
+	sent := len(servers[0].FirstLines())
 	waiting := s.openRequest("c=chat,d=1500")
-	second, err := fleet.NewPuppet(func(string) string { return "UP b" })
+	second, err := fleet.StartScriptedServer(func(string) string { return "UP b" })
 	require.NoError(t, err)
-	newService.Set("s9", second.Address, "ready")
-	newService.Break("")
+	newService.SetServer("s9", second.Address, "ready")
+	newService.SetFailure("")
 	require.Eventually(t, func() bool { return s.openAndReadAnswer() == "UP b" }, 8*time.Second, 20*time.Millisecond, "the new service answers, and its list is used")
-	require.Len(t, servers[0].Lines(), sent, "nothing was sent by the old list")
+	require.Len(t, servers[0].FirstLines(), sent, "nothing was sent by the old list")
 	line, err := waiting.reader.ReadString('\n')
 	require.NoError(t, err)
 	require.Contains(t, []string{"BUSY\r\n", "UP b\r\n"}, line, "the waiting client is answered")
@@ -107,21 +107,21 @@
 	const grace = 200 * logic.Millisecond
 	s, servers := startProxyWith(t, 1024, func(p *proxy.Proxy) { p.SetListLimits(grace, 10*logic.Second, false) }, "UP a")
 	s.openRequest("c=chat,d=1500").expectLine("UP a")
-	s.list.Break("down")
+	s.list.SetFailure("down")
 	downSince := time.Now()
-	s.list.Set("s0", "", "draining")
+	s.list.SetServer("s0", "", "draining")
 	require.Eventually(t, func() bool { return s.openAndReadAnswer() == "BUSY" }, 8*time.Second, 20*time.Millisecond,
 		"a change counts as delivered 6 s after the service has it and can be reached")
 	require.Greater(t, time.Since(downSince), 4*time.Second, "the list is used as long as allowed")
-	sent := len(servers[0].Lines())
-	second, err := fleet.NewPuppet(func(string) string { return "UP b" })
+	sent := len(servers[0].FirstLines())
+	second, err := fleet.StartScriptedServer(func(string) string { return "UP b" })
 	require.NoError(t, err)
-	s.list.Set("s9", second.Address, "ready")
-	s.list.Break("")
+	s.list.SetServer("s9", second.Address, "ready")
+	s.list.SetFailure("")
 	upSince := time.Now()
 	require.Eventually(t, func() bool { return s.openAndReadAnswer() == "UP b" }, 8*time.Second, 20*time.Millisecond)
 	require.Less(t, time.Since(upSince), 6*time.Second, "the list is requested again before its changes count as delivered")
-	require.Len(t, servers[0].Lines(), sent, "nothing was sent by the old list")
+	require.Len(t, servers[0].FirstLines(), sent, "nothing was sent by the old list")
 }
 
 // The discovery service is down for longer than its answers are fresh. As nobody can reach it, no change counts as
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -8,7 +8,7 @@
 )
 
 // trace logs one step of a request at debug level. The first step of a request is `asked`, the last one `answered` or
-// `ended`; `sent`, `failed` and `up` come in between. lab/worth computes its accounts from these lines.
+// `ended`; `sent`, `failed` and `up` come in between. lab/clienttime computes its accounts from these lines.
 func (p *Proxy) trace(step string, c *client, attrs ...any) {
 	if c.id == 0 || !p.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
--- a/lab/chaos/judge.go
+++ b/lab/chaos/judge.go
@@ -9,74 +9,74 @@
 	"time"
 )
 
-// Said is a command that somebody had an agent say.
-type Said struct {
-	ID     string
-	Agent  int
-	Began  time.Duration // since the begin of the run, on the clock that all processes share
-	At     time.Duration // when an answer came, or was waited for no longer
-	Number uint64        // 0: the outcome is not known
+// Submission is a command that somebody had an agent say.
+type Submission struct {
+	ID          string
+	Agent       int
+	SubmittedAt time.Duration // since the begin of the run, on the clock that all processes share
+	EndedAt     time.Duration // when an answer came, or was waited for no longer
+	Number      uint64        // 0: the outcome is not known
 }
 
-// Told is an order as an instance goes by it.
-type Told struct {
+// AppliedOrder is an order as an instance goes by it.
+type AppliedOrder struct {
 	Number uint64
 	ID     string
 }
 
-// Held is what an instance told of itself.
-type Held struct {
-	Instance string
-	Machine  int
-	At       time.Duration
-	Process  int64 // when its process started
-	Term     uint64
-	Orders   map[string]Told // by server
+// InstanceReport is what an instance told of itself.
+type InstanceReport struct {
+	Instance           string
+	Machine            int
+	AskedAt            time.Duration
+	ProcessStartMicros int64 // when its process started
+	Term               uint64
+	Orders             map[string]AppliedOrder // by server
 }
 
-// Fell is an agent that ended by itself.
-type Fell struct {
+// RecordedExit is an agent that ended by itself.
+type RecordedExit struct {
 	Agent int
 	At    time.Duration
 }
 
-// Seen is what an agent told of itself.
-type Seen struct {
-	Agent   int
-	At      time.Duration // when it was asked
-	Done    time.Duration // when its answer came
-	Leads   bool
-	Term    uint64
-	Applied uint64
-	Holds   map[string]uint64 // the duties that it may act on, with the tokens
-	Past    map[uint64]string // the commands that it knows, by number: the last few hundred
+// AgentReport is what an agent told of itself.
+type AgentReport struct {
+	Agent          int
+	AskedAt        time.Duration // when it was asked
+	AnsweredAt     time.Duration // when its answer came
+	IsLeader       bool
+	Term           uint64
+	AppliedIndex   uint64
+	HeldDuties     map[string]uint64 // the duties that it may act on, with the tokens
+	RecentCommands map[uint64]string // the commands that it knows, by number: the last few hundred
 
-	first uint64 // the least of these numbers
+	oldestNumber uint64 // the least of these numbers
 }
 
 // Record is what was seen in a run. It is judged only once the run is over.
 type Record struct {
-	Agents  int
-	Said    []Said
-	Seen    []Seen
-	Held    []Held
-	Fell    []Fell
-	Faults  []Fault
-	Ended   time.Duration // when the last fault ended
-	Settled time.Duration // how long after that all agents had agreed on a new command; 0 if they did not
-	Told    time.Duration // how long after that all instances went by it; 0 if they did not
+	AgentCount         int
+	Submissions        []Submission
+	AgentReports       []AgentReport
+	InstanceReports    []InstanceReport
+	UnexpectedExits    []RecordedExit
+	Faults             []Fault
+	LastFaultEnd       time.Duration // when the last fault ended
+	AgentSettleTime    time.Duration // how long after that all agents had agreed on a new command; 0 if they did not
+	InstanceSettleTime time.Duration // how long after that all instances went by it; 0 if they did not
 
-	Instances bool // there were some
+	HasInstances bool // there were some
 }
 
 // Breach is what must not be.
 type Breach struct {
-	Kind string // lost, changed, two leaders, not settled, out of order, stale, forgot, fell
-	At   time.Duration
-	What string
+	Kind        string // lost, changed, two leaders, not settled, out of order, stale, forgot, fell
+	At          time.Duration
+	Description string
 }
 
-// Judge tells what was broken:
+// FindBreaches tells what was broken:
 //   - changed: two agents, or one at two times, know two commands under one number, or one command under two;
 //   - lost: a command was answered with a number, and an agent that has applied that far does not know it there, or none
 //     knows it at the end;
@@ -88,70 +88,70 @@
 //   - forgot: an instance that was started anew on a machine that kept its disk went back to an older order;
 //   - two holders: an agent could act on a duty after another could by a higher token;
 //   - fell: an agent ended by itself while its disk had room.
-func Judge(r Record, bound time.Duration) []Breach {
+func FindBreaches(r Record, bound time.Duration) []Breach {
 	var found []Breach
 	add := func(kind string, at time.Duration, what string, about ...any) {
 		found = append(found, Breach{kind, at, fmt.Sprintf(what, about...)})
 	}
-	seen := slices.Clone(r.Seen)
-	slices.SortStableFunc(seen, func(a, b Seen) int { return cmp.Compare(a.At, b.At) })
+	seen := slices.Clone(r.AgentReports)
+	slices.SortStableFunc(seen, func(a, b AgentReport) int { return cmp.Compare(a.AskedAt, b.AskedAt) })
 	leaders, ids, numbers := map[uint64]int{}, map[uint64]string{}, map[string]uint64{}
 	told := map[string]bool{} // each breach once
 	once := func(key string) bool { was := told[key]; told[key] = true; return !was }
 	for i, s := range seen {
-		if seen[i].first = math.MaxUint64; len(s.Past) > 0 {
-			seen[i].first = slices.Min(slices.Collect(maps.Keys(s.Past)))
+		if seen[i].oldestNumber = math.MaxUint64; len(s.RecentCommands) > 0 {
+			seen[i].oldestNumber = slices.Min(slices.Collect(maps.Keys(s.RecentCommands)))
 		}
-		if s.Leads {
+		if s.IsLeader {
 			if other, known := leaders[s.Term]; known && other != s.Agent && once(fmt.Sprint("term", s.Term)) {
-				add("two leaders", s.At, "a%d and a%d in term %d", other, s.Agent, s.Term)
+				add("two leaders", s.AskedAt, "a%d and a%d in term %d", other, s.Agent, s.Term)
 			}
 			leaders[s.Term] = s.Agent
 		}
-		for _, n := range sorted(s.Past) {
-			id := s.Past[n]
+		for _, n := range sortedNumbers(s.RecentCommands) {
+			id := s.RecentCommands[n]
 			if other, known := ids[n]; known && other != id && once(fmt.Sprint("number", n)) {
-				add("changed", s.At, "number %d is %s, and %s at a%d", n, other, id, s.Agent)
+				add("changed", s.AskedAt, "number %d is %s, and %s at a%d", n, other, id, s.Agent)
 			}
 			if other, known := numbers[id]; known && other != n && once("id"+id) {
-				add("changed", s.At, "%s is number %d, and %d at a%d", id, other, n, s.Agent)
+				add("changed", s.AskedAt, "%s is number %d, and %d at a%d", id, other, n, s.Agent)
 			}
 			ids[n], numbers[id] = id, n
 		}
 	}
-	for _, c := range r.Said {
+	for _, c := range r.Submissions {
 		if c.Number == 0 {
 			continue
 		}
 		for _, s := range seen {
-			if s.Applied >= c.Number && c.Number >= s.first && s.Past[c.Number] != c.ID && once("lost"+c.ID) {
-				add("lost", s.At, "%s was answered with number %d; a%d has applied %d and holds %q there", c.ID, c.Number, s.Agent, s.Applied, s.Past[c.Number])
+			if s.AppliedIndex >= c.Number && c.Number >= s.oldestNumber && s.RecentCommands[c.Number] != c.ID && once("lost"+c.ID) {
+				add("lost", s.AskedAt, "%s was answered with number %d; a%d has applied %d and holds %q there", c.ID, c.Number, s.Agent, s.AppliedIndex, s.RecentCommands[c.Number])
 			}
 		}
 		if numbers[c.ID] != c.Number && once("lost"+c.ID) {
-			add("lost", c.At, "%s was answered with number %d by a%d and never seen there: it was seen at %d, and there %q", c.ID, c.Number, c.Agent, numbers[c.ID], ids[c.Number])
+			add("lost", c.EndedAt, "%s was answered with number %d by a%d and never seen there: it was seen at %d, and there %q", c.ID, c.Number, c.Agent, numbers[c.ID], ids[c.Number])
 		}
 	}
-	for _, f := range r.Fell {
+	for _, f := range r.UnexpectedExits {
 		add("fell", f.At, "a%d ended by itself", f.Agent)
 	}
-	found = append(found, outOfOrder(r.Said, numbers)...)
-	found = append(found, judgeHeld(r, ids)...)
-	found = append(found, judgeHolders(seen)...)
-	if r.Instances && r.Settled > 0 && (r.Told == 0 || r.Told > bound+TellingBound) {
-		add("not settled", r.Ended, "instances went by the last order %v after the last fault (0: never); the bound is %v", r.Told.Round(time.Millisecond), bound+TellingBound)
+	found = append(found, checkLinearizability(r.Submissions, numbers)...)
+	found = append(found, checkInstances(r, ids)...)
+	found = append(found, checkDutyHolders(seen)...)
+	if r.HasInstances && r.AgentSettleTime > 0 && (r.InstanceSettleTime == 0 || r.InstanceSettleTime > bound+InstanceSettleBound) {
+		add("not settled", r.LastFaultEnd, "instances went by the last order %v after the last fault (0: never); the bound is %v", r.InstanceSettleTime.Round(time.Millisecond), bound+InstanceSettleBound)
 	}
-	if r.Settled == 0 || r.Settled > bound {
-		add("not settled", r.Ended, "%v after the last fault (0: never); the bound is %v", r.Settled.Round(time.Millisecond), bound)
+	if r.AgentSettleTime == 0 || r.AgentSettleTime > bound {
+		add("not settled", r.LastFaultEnd, "%v after the last fault (0: never); the bound is %v", r.AgentSettleTime.Round(time.Millisecond), bound)
 	}
 	return found
 }
 
-// judgeHeld judges what instances went by; ids are the commands that were agreed on, by number.
-func judgeHeld(r Record, ids map[uint64]string) (found []Breach) {
-	held := slices.Clone(r.Held)
-	slices.SortStableFunc(held, func(a, b Held) int { return cmp.Compare(a.At, b.At) })
-	before := map[string]Held{}
+// checkInstances judges what instances went by; ids are the commands that were agreed on, by number.
+func checkInstances(r Record, ids map[uint64]string) (found []Breach) {
+	held := slices.Clone(r.InstanceReports)
+	slices.SortStableFunc(held, func(a, b InstanceReport) int { return cmp.Compare(a.AskedAt, b.AskedAt) })
+	before := map[string]InstanceReport{}
 	told := map[string]bool{}
 	for _, h := range held {
 		b, known := before[h.Instance]
@@ -159,18 +159,18 @@
 		add := func(kind, what string, about ...any) {
 			if key := kind + h.Instance; !told[key] {
 				told[key] = true
-				found = append(found, Breach{kind, h.At, h.Instance + ": " + fmt.Sprintf(what, about...)})
+				found = append(found, Breach{kind, h.AskedAt, h.Instance + ": " + fmt.Sprintf(what, about...)})
 			}
 		}
 		kind := "stale"
-		if known && b.Process != h.Process {
+		if known && b.ProcessStartMicros != h.ProcessStartMicros {
 			kind = "forgot"
 		}
 		if known && kind == "stale" && h.Term < b.Term {
 			add(kind, "heard an author of term %d, and now goes by one of term %d", b.Term, h.Term)
 		}
 		disk := slices.ContainsFunc(r.Faults, func(f Fault) bool {
-			return (f.Kind == DiskLost || f.Kind == DiskOld) && f.On == h.Machine
+			return (f.Kind == DiskLost || f.Kind == DiskRolledBack) && f.Target == h.Machine
 		})
 		for _, server := range slices.Sorted(maps.Keys(b.Orders)) {
 			if was, is := b.Orders[server], h.Orders[server]; is.Number < was.Number && !(kind == "forgot" && disk) {
@@ -186,8 +186,8 @@
 	return found
 }
 
-// judgeHolders judges who could act on duties; what agents told is in the order of time.
-func judgeHolders(seen []Seen) (found []Breach) {
+// checkDutyHolders judges who could act on duties; what agents told is in the order of time.
+func checkDutyHolders(seen []AgentReport) (found []Breach) {
 	type acted struct {
 		token uint64
 		by    int
@@ -196,50 +196,50 @@
 	highest := map[string][]acted{} // by duty, rising tokens
 	told := map[string]bool{}
 	for _, s := range seen {
-		for _, duty := range slices.Sorted(maps.Keys(s.Holds)) {
-			token := s.Holds[duty]
+		for _, duty := range slices.Sorted(maps.Keys(s.HeldDuties)) {
+			token := s.HeldDuties[duty]
 			for _, other := range highest[duty] {
-				if key := fmt.Sprint(duty, token, other.token); other.token > token && other.at < s.At && !told[key] {
+				if key := fmt.Sprint(duty, token, other.token); other.token > token && other.at < s.AskedAt && !told[key] {
 					told[key] = true
-					found = append(found, Breach{"two holders", s.At, fmt.Sprintf("a%d can act on %s by token %d, and a%d could by token %d at %v", s.Agent, duty, token, other.by, other.token, other.at)})
+					found = append(found, Breach{"two holders", s.AskedAt, fmt.Sprintf("a%d can act on %s by token %d, and a%d could by token %d at %v", s.Agent, duty, token, other.by, other.token, other.at)})
 				}
 				if other.token == token && other.by != s.Agent && !told[fmt.Sprint(duty, token)] {
 					told[fmt.Sprint(duty, token)] = true
-					found = append(found, Breach{"two holders", s.At, fmt.Sprintf("a%d and a%d can act on %s by the same token %d", other.by, s.Agent, duty, token)})
+					found = append(found, Breach{"two holders", s.AskedAt, fmt.Sprintf("a%d and a%d can act on %s by the same token %d", other.by, s.Agent, duty, token)})
 				}
 			}
 			if !slices.ContainsFunc(highest[duty], func(a acted) bool { return a.token == token }) {
-				highest[duty] = append(highest[duty], acted{token, s.Agent, s.Done})
+				highest[duty] = append(highest[duty], acted{token, s.Agent, s.AnsweredAt})
 			}
 		}
 	}
 	return found
 }
 
-// Unheld is how long nobody could act on a duty, each time that it went to another, or for longer than looks are apart: from when an agent that could was seen last until one was seen again, in
+// UnheldGaps is how long nobody could act on a duty, each time that it went to another, or for longer than looks are apart: from when an agent that could was seen last until one was seen again, in
 // the order of length. Looks come each 40 ms, so that it is told up to twice as much too long.
-func (r Record) Unheld(duty string) (gaps []time.Duration) {
+func (r Record) UnheldGaps(duty string) (gaps []time.Duration) {
 	last, by := time.Duration(-1), uint64(0)
-	seen := slices.Clone(r.Seen)
-	slices.SortStableFunc(seen, func(a, b Seen) int { return cmp.Compare(a.At, b.At) })
+	seen := slices.Clone(r.AgentReports)
+	slices.SortStableFunc(seen, func(a, b AgentReport) int { return cmp.Compare(a.AskedAt, b.AskedAt) })
 	for _, s := range seen {
-		if s.Holds[duty] == 0 {
+		if s.HeldDuties[duty] == 0 {
 			continue
 		}
-		if last >= 0 && (s.At-last > 4*seeing || by != s.Holds[duty]) {
-			gaps = append(gaps, s.At-last)
+		if last >= 0 && (s.AskedAt-last > 4*agentPollInterval || by != s.HeldDuties[duty]) {
+			gaps = append(gaps, s.AskedAt-last)
 		}
-		last, by = s.At, s.Holds[duty]
+		last, by = s.AskedAt, s.HeldDuties[duty]
 	}
 	slices.Sort(gaps)
 	return gaps
 }
 
-// outOfOrder tells what answers fit no log that is one: each command takes a place after all that were answered before it was
+// checkLinearizability tells what answers fit no log that is one: each command takes a place after all that were answered before it was
 // said, and is answered with that place however often it is said. As the places are told, one pass in their order decides it:
 // the earliest moment at which a command can have taken its place is when it was said first, or the moment of the one before it
 // if that is later, and must not come after its first answer. places are those that were seen.
-func outOfOrder(said []Said, places map[string]uint64) (breaches []Breach) {
+func checkLinearizability(said []Submission, places map[string]uint64) (breaches []Breach) {
 	type turn struct {
 		id          string
 		place       uint64
@@ -249,17 +249,17 @@
 	for _, s := range said {
 		t := turns[s.ID]
 		if t == nil {
-			t = &turn{s.ID, places[s.ID], s.Began, math.MaxInt64}
+			t = &turn{s.ID, places[s.ID], s.SubmittedAt, math.MaxInt64}
 			turns[s.ID] = t
 		}
-		t.first = min(t.first, s.Began)
+		t.first = min(t.first, s.SubmittedAt)
 		if s.Number == 0 {
 			continue
 		}
 		if t.place != 0 && t.place != s.Number {
-			breaches = append(breaches, Breach{"out of order", s.At, fmt.Sprintf("%s is number %d, and was answered with %d", s.ID, t.place, s.Number)})
+			breaches = append(breaches, Breach{"out of order", s.EndedAt, fmt.Sprintf("%s is number %d, and was answered with %d", s.ID, t.place, s.Number)})
 		}
-		t.place, t.last = s.Number, min(t.last, s.At)
+		t.place, t.last = s.Number, min(t.last, s.EndedAt)
 	}
 	inTurn := slices.SortedFunc(maps.Values(turns), func(a, b *turn) int { return cmp.Compare(a.place, b.place) })
 	var before turn
@@ -277,14 +277,14 @@
 	return breaches
 }
 
-func sorted(m map[uint64]string) []uint64 { return slices.Sorted(maps.Keys(m)) }
+func sortedNumbers(m map[uint64]string) []uint64 { return slices.Sorted(maps.Keys(m)) }
 
 // Bound is how long after the last fault agents may take to agree on a new command and all have it; docs/faults.md
 // derives it, and that instances go by it TellingBound later.
 const (
-	Bound        = 17 * time.Second
-	TellingBound = 3 * time.Second
-	// UnheldBound is how long nobody may be able to act on a duty after its holder and the agent that gives it are lost in one instant,
+	SettleBound         = 17 * time.Second
+	InstanceSettleBound = 3 * time.Second
+	// UnheldDutyBound is how long nobody may be able to act on a duty after its holder and the agent that gives it are lost in one instant,
 	// while most agents run and reach each other; docs/duties.md derives it.
-	UnheldBound = 6 * time.Second
+	UnheldDutyBound = 6 * time.Second
 )
--- a/lab/chaos/record.go
+++ b/lab/chaos/record.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// rising is how long the agents may take to agree for the first time, on a busy machine.
-	rising = 30 * time.Second
-	// waiting is how long a run waits for them to settle: longer than any bound that is judged by.
-	waiting = 40 * time.Second
-	seeing  = 40 * time.Millisecond
-	saying  = 40 * time.Millisecond
-	// looking is how often an instance is asked what it goes by: often enough to see each order, far below what a surface takes.
-	looking = 200 * time.Millisecond
-	// impatient is how long a client waits: a command that was passed on to a leader that is cut off says nothing for long.
-	impatient = time.Second
-	// again is how many commands a client says until it says one again, whose number is known: that is a read of the log.
-	again = 8
+	// firstAgreementTimeout is how long the agents may take to agree for the first time, on a busy machine.
+	firstAgreementTimeout = 30 * time.Second
+	// settleTimeout is how long a run waits for them to settle: longer than any bound that is judged by.
+	settleTimeout     = 40 * time.Second
+	agentPollInterval = 40 * time.Millisecond
+	commandInterval   = 40 * time.Millisecond
+	// instancePollInterval is how often an instance is asked what it goes by: often enough to see each order, far below what a surface takes.
+	instancePollInterval = 200 * time.Millisecond
+	// commandTimeout is how long a client waits: a command that was passed on to a leader that is cut off says nothing for long.
+	commandTimeout = time.Second
+	// repeatInterval is how many commands a client says until it says one again, whose number is known: that is a read of the log.
+	repeatInterval = 8
 )
 
 // Recorder notes what agents and instances tell of themselves, and what is said to them, until it is ended.
 type Recorder struct {
-	m        *Machines
-	begin    time.Time
-	mu       sync.Mutex
-	r        Record
-	done     chan struct{}
-	watching sync.WaitGroup
+	cluster   *Cluster
+	startedAt time.Time
+	mu        sync.Mutex
+	record    Record
+	done      chan struct{}
+	watchers  sync.WaitGroup
 }
 
-// Record begins to watch agents and instances.
-func (m *Machines) Record(ctx context.Context) *Recorder {
-	rec := &Recorder{m: m, begin: time.Now(), r: Record{Agents: len(m.names)}, done: make(chan struct{})}
+// StartRecording begins to watch agents and instances.
+func (m *Cluster) StartRecording(ctx context.Context) *Recorder {
+	rec := &Recorder{cluster: m, startedAt: time.Now(), record: Record{AgentCount: len(m.names)}, done: make(chan struct{})}
 	each := func(every time.Duration, look func()) {
-		rec.watching.Go(func() {
+		rec.watchers.Go(func() {
 			for {
 				select {
 				case <-rec.done:
@@ -53,19 +53,19 @@
 		})
 	}
 	for a := range m.names {
-		each(seeing, func() {
-			if s, err := rec.look(ctx, a); err == nil { // of one that is crashed or stopped nothing is seen
-				rec.note(func(r *Record) { r.Seen = append(r.Seen, s) })
+		each(agentPollInterval, func() {
+			if s, err := rec.pollAgent(ctx, a); err == nil { // of one that is crashed or stopped nothing is seen
+				rec.update(func(r *Record) { r.AgentReports = append(r.AgentReports, s) })
 			}
 		})
-		if m.Instances == nil {
+		if m.InstanceConfigs == nil {
 			continue
 		}
-		for _, i := range m.Instances(a) {
+		for _, i := range m.InstanceConfigs(a) {
 			c := control.NewClient(i.ControlAddress)
-			each(looking, func() {
-				if h, err := rec.held(ctx, c, a, i.Name); err == nil {
-					rec.note(func(r *Record) { r.Held = append(r.Held, h) })
+			each(instancePollInterval, func() {
+				if h, err := rec.pollInstance(ctx, c, a, i.Name); err == nil {
+					rec.update(func(r *Record) { r.InstanceReports = append(r.InstanceReports, h) })
 				}
 			})
 		}
@@ -73,44 +73,44 @@
 	return rec
 }
 
-func (rec *Recorder) note(how func(*Record)) {
+func (rec *Recorder) update(how func(*Record)) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
-	how(&rec.r)
+	how(&rec.record)
 }
 
-// Say has an agent say a command, and notes what came of it.
-func (rec *Recorder) Say(ctx context.Context, a int, c clusterstate.Command, within time.Duration) (uint64, error) {
-	s := Said{ID: c.ID, Agent: a, Began: time.Since(rec.begin)}
-	err := rec.m.ask(ctx, a, within, func(ctx context.Context, client *agent.Client) (err error) {
+// Submit has an agent say a command, and notes what came of it.
+func (rec *Recorder) Submit(ctx context.Context, a int, c clusterstate.Command, within time.Duration) (uint64, error) {
+	s := Submission{ID: c.ID, Agent: a, SubmittedAt: time.Since(rec.startedAt)}
+	err := rec.cluster.callAgent(ctx, a, within, func(ctx context.Context, client *agent.Client) (err error) {
 		s.Number, err = client.Submit(ctx, c)
 		return err
 	})
 	if err != nil {
 		s.Number = 0
 	}
-	s.At = time.Since(rec.begin)
-	rec.note(func(r *Record) { r.Said = append(r.Said, s) })
+	s.EndedAt = time.Since(rec.startedAt)
+	rec.update(func(r *Record) { r.Submissions = append(r.Submissions, s) })
 	return s.Number, err
 }
 
-// Suffer plays a fault now, from its begin to its end, and notes it.
-func (rec *Recorder) Suffer(ctx context.Context, f Fault) error {
-	f.At = time.Since(rec.begin)
-	if f.On < 0 {
-		f.On = rec.who(f.On)
+// InjectFault plays a fault now, from its begin to its end, and notes it.
+func (rec *Recorder) InjectFault(ctx context.Context, f Fault) error {
+	f.At = time.Since(rec.startedAt)
+	if f.Target < 0 {
+		f.Target = rec.resolveTarget(f.Target)
 	}
-	rec.note(func(r *Record) { r.Faults = append(r.Faults, f) })
-	err := rec.m.suffer(ctx, f)
-	rec.note(func(r *Record) { r.Ended = time.Since(rec.begin) })
+	rec.update(func(r *Record) { r.Faults = append(r.Faults, f) })
+	err := rec.cluster.injectFault(ctx, f)
+	rec.update(func(r *Record) { r.LastFaultEnd = time.Since(rec.startedAt) })
 	return err
 }
 
-// who is the agent that is meant by a number below 0, as it was seen last; the first if nobody is.
-func (rec *Recorder) who(on int) (a int) {
-	rec.note(func(r *Record) {
-		for _, s := range r.Seen {
-			if on == OfLeader && s.Leads || on == OfHolder && len(s.Holds) > 0 {
+// resolveTarget is the agent that is meant by a number below 0, as it was seen last; the first if nobody is.
+func (rec *Recorder) resolveTarget(on int) (a int) {
+	rec.update(func(r *Record) {
+		for _, s := range r.AgentReports {
+			if on == TargetLeader && s.IsLeader || on == TargetHolder && len(s.HeldDuties) > 0 {
 				a = s.Agent
 			}
 		}
@@ -118,38 +118,38 @@
 	return a
 }
 
-// Settle waits until a new command is agreed on, and all agents and instances have it; it notes how long that took since the
+// AwaitSettled waits until a new command is agreed on, and all agents and instances have it; it notes how long that took since the
 // last fault ended. The command undoes an order that never was, on a server.
-func (rec *Recorder) Settle(ctx context.Context, server string) {
-	m, n, number := rec.m, 0, uint64(0)
+func (rec *Recorder) AwaitSettled(ctx context.Context, server string) {
+	m, n, number := rec.cluster, 0, uint64(0)
 	for a := range m.names {
-		m.Wake(a) // one fault may have stopped what another started anew
+		m.ResumeMachine(a) // one fault may have stopped what another started anew
 	}
-	end := time.Now().Add(waiting)
+	end := time.Now().Add(settleTimeout)
 	var ended time.Duration
-	rec.note(func(r *Record) {
+	rec.update(func(r *Record) {
 		if len(r.Faults) == 0 {
-			r.Ended = time.Since(rec.begin)
+			r.LastFaultEnd = time.Since(rec.startedAt)
 		}
-		ended = r.Ended
+		ended = r.LastFaultEnd
 	})
 	supervise := func() { // as whoever runs agents starts those again that have ended
 		for a := range m.names {
-			_ = m.Start(a)
+			_ = m.StartAgent(a)
 		}
 	}
-	err := until(ctx, waiting, func() (good bool) {
+	err := waitUntil(ctx, settleTimeout, func() (good bool) {
 		supervise()
 		var err error
-		number, err = rec.Say(ctx, n%len(m.names), clusterstate.Command{ID: fmt.Sprint("last", n), Verb: clusterstate.Undrain, Server: server}, impatient)
+		number, err = rec.Submit(ctx, n%len(m.names), clusterstate.Command{ID: fmt.Sprint("last", n), Verb: clusterstate.Undrain, Server: server}, commandTimeout)
 		n++
 		return err == nil
 	})
 	if err == nil {
-		err = until(ctx, time.Until(end), func() bool {
+		err = waitUntil(ctx, time.Until(end), func() bool {
 			supervise()
 			for a := range m.names {
-				if s, err := rec.look(ctx, a); err != nil || s.Applied < number {
+				if s, err := rec.pollAgent(ctx, a); err != nil || s.AppliedIndex < number {
 					return false
 				}
 			}
@@ -159,12 +159,12 @@
 	if err != nil {
 		return
 	}
-	settled := time.Since(rec.begin) - ended
-	err = until(ctx, time.Until(end), func() bool {
+	settled := time.Since(rec.startedAt) - ended
+	err = waitUntil(ctx, time.Until(end), func() bool {
 		for a := range m.names {
-			for _, i := range m.keeps(a) {
+			for _, i := range m.instanceConfigs(a) {
 				c := control.NewClient(i.ControlAddress)
-				h, err := rec.held(ctx, c, a, i.Name)
+				h, err := rec.pollInstance(ctx, c, a, i.Name)
 				c.Close()
 				if err != nil || h.Orders[server].Number < number {
 					return false
@@ -173,89 +173,89 @@
 		}
 		return true
 	})
-	rec.note(func(r *Record) {
-		r.Settled = settled
-		if err == nil && m.Instances != nil {
-			r.Told = time.Since(rec.begin) - ended
+	rec.update(func(r *Record) {
+		r.AgentSettleTime = settled
+		if err == nil && m.InstanceConfigs != nil {
+			r.InstanceSettleTime = time.Since(rec.startedAt) - ended
 		}
 	})
 }
 
-// End ends the watch and returns the record.
-func (rec *Recorder) End(ctx context.Context) Record {
+// Finish ends the watch and returns the record.
+func (rec *Recorder) Finish(ctx context.Context) Record {
 	close(rec.done)
-	rec.watching.Wait()
+	rec.watchers.Wait()
 	// What was said last is looked for once more: a record that ends before it would accuse the agents.
-	_ = until(ctx, 2*time.Second, func() bool { return rec.r.Settled == 0 || rec.lastLook(ctx) })
-	rec.m.mu.Lock()
-	defer rec.m.mu.Unlock()
-	for _, f := range rec.m.fell {
-		rec.r.Fell = append(rec.r.Fell, Fell{f.Agent, f.At.Sub(rec.begin)})
+	_ = waitUntil(ctx, 2*time.Second, func() bool { return rec.record.AgentSettleTime == 0 || rec.pollAllAgents(ctx) })
+	rec.cluster.mu.Lock()
+	defer rec.cluster.mu.Unlock()
+	for _, f := range rec.cluster.unexpectedExits {
+		rec.record.UnexpectedExits = append(rec.record.UnexpectedExits, RecordedExit{f.Agent, f.At.Sub(rec.startedAt)})
 	}
-	rec.r.Instances = rec.m.Instances != nil
-	return rec.r
+	rec.record.HasInstances = rec.cluster.InstanceConfigs != nil
+	return rec.record
 }
 
-// lastLook notes what each agent tells now; true if all have what was answered last.
-func (rec *Recorder) lastLook(ctx context.Context) bool {
+// pollAllAgents notes what each agent tells now; true if all have what was answered last.
+func (rec *Recorder) pollAllAgents(ctx context.Context) bool {
 	var last uint64
-	for _, s := range rec.r.Said {
+	for _, s := range rec.record.Submissions {
 		last = max(last, s.Number)
 	}
 	all := true
-	for a := range rec.m.names {
-		s, err := rec.look(ctx, a)
+	for a := range rec.cluster.names {
+		s, err := rec.pollAgent(ctx, a)
 		if err != nil {
 			return false
 		}
-		rec.r.Seen = append(rec.r.Seen, s)
-		all = all && s.Applied >= last
+		rec.record.AgentReports = append(rec.record.AgentReports, s)
+		all = all && s.AppliedIndex >= last
 	}
 	return all
 }
 
-// look asks an agent what it knows.
-func (rec *Recorder) look(ctx context.Context, a int) (Seen, error) {
-	s := Seen{Agent: a, At: time.Since(rec.begin), Past: map[uint64]string{}}
-	err := rec.m.ask(ctx, a, time.Second, func(ctx context.Context, c *agent.Client) error {
+// pollAgent asks an agent what it knows.
+func (rec *Recorder) pollAgent(ctx context.Context, a int) (AgentReport, error) {
+	s := AgentReport{Agent: a, AskedAt: time.Since(rec.startedAt), RecentCommands: map[uint64]string{}}
+	err := rec.cluster.callAgent(ctx, a, time.Second, func(ctx context.Context, c *agent.Client) error {
 		v, err := c.View(ctx)
-		s.Leads, s.Term, s.Applied, s.Holds = v.IsLeader, v.Term, v.AppliedIndex, v.HeldDuties
+		s.IsLeader, s.Term, s.AppliedIndex, s.HeldDuties = v.IsLeader, v.Term, v.AppliedIndex, v.HeldDuties
 		for _, e := range v.RecentCommands {
-			s.Past[e.Number] = e.ID
+			s.RecentCommands[e.Number] = e.ID
 		}
 		return err
 	})
-	s.Done = time.Since(rec.begin)
+	s.AnsweredAt = time.Since(rec.startedAt)
 	return s, err
 }
 
-// held asks an instance itself what it goes by.
-func (rec *Recorder) held(ctx context.Context, c *control.Client, a int, name string) (Held, error) {
+// pollInstance asks an instance itself what it goes by.
+func (rec *Recorder) pollInstance(ctx context.Context, c *control.Client, a int, name string) (InstanceReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	h := Held{Instance: name, Machine: a, At: time.Since(rec.begin), Orders: map[string]Told{}}
+	h := InstanceReport{Instance: name, Machine: a, AskedAt: time.Since(rec.startedAt), Orders: map[string]AppliedOrder{}}
 	st, err := c.Status(ctx)
 	if err != nil {
 		return h, err
 	}
-	h.Process, h.Term = st.StartedMicros, st.Term
+	h.ProcessStartMicros, h.Term = st.StartedMicros, st.Term
 	for _, o := range st.Orders {
-		h.Orders[o.ServerUID] = Told{o.Number, o.ID}
+		h.Orders[o.ServerUID] = AppliedOrder{o.Number, o.ID}
 	}
 	return h, nil
 }
 
-// Play has the agents run under the faults while clients have them say commands, and returns what was seen.
-func (m *Machines) Play(ctx context.Context, faults []Fault) (Record, error) {
+// RunSchedule has the agents run under the faults while clients have them say commands, and returns what was seen.
+func (m *Cluster) RunSchedule(ctx context.Context, faults []Fault) (Record, error) {
 	for a := range m.names {
-		if err := m.Start(a); err != nil {
+		if err := m.StartAgent(a); err != nil {
 			return Record{}, err
 		}
 	}
-	if err := m.Rise(ctx); err != nil {
+	if err := m.AwaitFirstAgreement(ctx); err != nil {
 		return Record{}, err
 	}
-	rec := m.Record(ctx)
+	rec := m.StartRecording(ctx)
 	var clients sync.WaitGroup
 	over := make(chan struct{})
 	for a := range m.names { // a client each: one that is held up holds up nobody else
@@ -264,11 +264,11 @@
 				select {
 				case <-over:
 					return
-				case <-time.After(saying):
+				case <-time.After(commandInterval):
 				}
 				c := clusterstate.Command{ID: fmt.Sprintf("c%d-%d", a, n), Verb: clusterstate.Drain, Server: fmt.Sprint("s", n%10)}
-				if _, err := rec.Say(ctx, a, c, impatient); err != nil || n%again == 0 {
-					_, _ = rec.Say(ctx, (a+1)%len(m.names), c, impatient) // what became of it is heard elsewhere, by saying it again
+				if _, err := rec.Submit(ctx, a, c, commandTimeout); err != nil || n%repeatInterval == 0 {
+					_, _ = rec.Submit(ctx, (a+1)%len(m.names), c, commandTimeout) // what became of it is heard elsewhere, by saying it again
 				}
 			}
 		})
@@ -279,24 +279,24 @@
 		playing.Go(func() {
 			select {
 			case <-time.After(f.At):
-				wrong[i] = rec.Suffer(ctx, f)
+				wrong[i] = rec.InjectFault(ctx, f)
 			case <-ctx.Done():
 			}
 		})
 	}
 	playing.Wait()
-	rec.Settle(ctx, "s-last")
+	rec.AwaitSettled(ctx, "s-last")
 	close(over)
 	clients.Wait()
-	return rec.End(ctx), errors.Join(wrong...)
+	return rec.Finish(ctx), errors.Join(wrong...)
 }
 
-// Rise waits until the agents agree for the first time.
-func (m *Machines) Rise(ctx context.Context) error {
+// AwaitFirstAgreement waits until the agents agree for the first time.
+func (m *Cluster) AwaitFirstAgreement(ctx context.Context) error {
 	first := 0
-	err := until(ctx, rising, func() bool {
+	err := waitUntil(ctx, firstAgreementTimeout, func() bool {
 		first++
-		return m.ask(ctx, first%len(m.names), asking, func(ctx context.Context, c *agent.Client) error {
+		return m.callAgent(ctx, first%len(m.names), callTimeout, func(ctx context.Context, c *agent.Client) error {
 			_, err := c.Submit(ctx, clusterstate.Command{ID: "first", Verb: clusterstate.Undrain, Server: "s-first"})
 			return err
 		}) == nil
--- a/lab/chaos/spread.go
+++ b/lab/chaos/spread.go
@@ -10,23 +10,23 @@
 	"hatchproxy/agent/clusterstate"
 )
 
-// Spread is how commands reach many agents, and what they cost at rest.
-type Spread struct {
-	First, All []time.Duration // from when a command was said until it was answered, and until every agent had it; sorted
-	Rest       float64         // bytes a second between machines while nothing is said
+// SpreadResult is how commands reach many agents, and what they cost at rest.
+type SpreadResult struct {
+	AnswerTimes, ApplyTimes []time.Duration // from when a command was said until it was answered, and until every agent had it; sorted
+	IdleBytesPerSecond      float64         // bytes a second between machines while nothing is said
 }
 
-// Spread has a number of commands said, one after the other, and measures how they spread; resting is how long it then
+// MeasureSpread has a number of commands said, one after the other, and measures how they spread; resting is how long it then
 // watches what passes at rest.
-func (m *Machines) Spread(ctx context.Context, commands int, resting time.Duration) (Spread, error) {
-	var s Spread
+func (m *Cluster) MeasureSpread(ctx context.Context, commands int, resting time.Duration) (SpreadResult, error) {
+	var s SpreadResult
 	for a := range m.names {
-		if err := m.Start(a); err != nil {
+		if err := m.StartAgent(a); err != nil {
 			return s, err
 		}
 	}
 	say := func(a int, id string) (number uint64, err error) {
-		err = m.Ask(ctx, a, func(ctx context.Context, c *agent.Client) error {
+		err = m.CallAgent(ctx, a, func(ctx context.Context, c *agent.Client) error {
 			number, err = c.Submit(ctx, clusterstate.Command{ID: id, Verb: clusterstate.Drain, Server: "s1"})
 			return err
 		})
@@ -34,11 +34,11 @@
 	}
 	everywhere := func(number uint64, within time.Duration) error {
 		have := make([]bool, len(m.names))
-		return until(ctx, within, func() bool {
+		return waitUntil(ctx, within, func() bool {
 			all := true
 			for a := range m.names {
 				if !have[a] {
-					err := m.Ask(ctx, a, func(ctx context.Context, c *agent.Client) error {
+					err := m.CallAgent(ctx, a, func(ctx context.Context, c *agent.Client) error {
 						applied, err := c.AppliedIndex(ctx)
 						have[a] = err == nil && applied >= number
 						return err
@@ -50,10 +50,10 @@
 		})
 	}
 	var number uint64
-	if err := until(ctx, rising, func() (good bool) { var err error; number, err = say(0, "first"); return err == nil }); err != nil {
+	if err := waitUntil(ctx, firstAgreementTimeout, func() (good bool) { var err error; number, err = say(0, "first"); return err == nil }); err != nil {
 		return s, fmt.Errorf("the agents never agreed on a first command: %w", err)
 	}
-	if err := everywhere(number, 3*rising); err != nil {
+	if err := everywhere(number, 3*firstAgreementTimeout); err != nil {
 		return s, fmt.Errorf("not all agents were taken in: %w", err)
 	}
 	for n := range commands {
@@ -62,16 +62,16 @@
 		if err != nil {
 			return s, err
 		}
-		s.First = append(s.First, time.Since(began))
-		if err := everywhere(number, waiting); err != nil {
+		s.AnswerTimes = append(s.AnswerTimes, time.Since(began))
+		if err := everywhere(number, settleTimeout); err != nil {
 			return s, err
 		}
-		s.All = append(s.All, time.Since(began))
+		s.ApplyTimes = append(s.ApplyTimes, time.Since(began))
 	}
-	slices.Sort(s.First)
-	slices.Sort(s.All)
-	before, began := m.Net.Carried(), time.Now()
+	slices.Sort(s.AnswerTimes)
+	slices.Sort(s.ApplyTimes)
+	before, began := m.Network.CarriedBytes(), time.Now()
 	time.Sleep(resting)
-	s.Rest = float64(m.Net.Carried()-before) / time.Since(began).Seconds()
+	s.IdleBytesPerSecond = float64(m.Network.CarriedBytes()-before) / time.Since(began).Seconds()
 	return s, nil
 }
--- a/lab/experiment/agents.go
+++ b/lab/experiment/agents.go
@@ -25,7 +25,7 @@
 
 // agents are the agents of a run, each on a simulated machine of its own, which start and supervise its proxies.
 type agents struct {
-	*chaos.Machines
+	*chaos.Cluster
 	*chaos.Recorder
 	instances    []*instance
 	stopWatching context.CancelFunc // ends the readiness checks of the proxies
@@ -34,12 +34,12 @@
 	breaches     int           // of the rules of agents and instances
 	record       chaos.Record  // what was seen of the agents; set by checkAgents
 
-	mu             sync.Mutex   // guards the fields below; orderLatency has its own lock
-	orderLatency   *load.Series // from the issue of an order until an instance received it
-	unheardOrders  int          // summed over instances
-	leftAfterDrain int          // most connections left at a server that was ordered to drain
-	failedRestarts int          // rolling restarts
-	hasRolled      bool         // a conducted rolling restart was played
+	mu             sync.Mutex      // guards the fields below; orderLatency has its own lock
+	orderLatency   *load.Histogram // from the issue of an order until an instance received it
+	unheardOrders  int             // summed over instances
+	leftAfterDrain int             // most connections left at a server that was ordered to drain
+	failedRestarts int             // rolling restarts
+	hasRolled      bool            // a conducted rolling restart was played
 }
 
 // managedPID returns the id of the process that the instance's agent has recorded; 0 if there is none.
@@ -57,7 +57,7 @@
 
 // startAgents sets up the machines and their links, starts the agents and waits until all proxies are ready.
 func (r *run) startAgents(ctx context.Context) error {
-	a := &agents{instances: r.proxies, orderLatency: load.NewSeries(), faultsDone: make(chan struct{}, len(r.steps)*r.Control.Agents)}
+	a := &agents{instances: r.proxies, orderLatency: load.NewHistogram(), faultsDone: make(chan struct{}, len(r.steps)*r.Control.Agents)}
 	control := r.Control
 	configs := make([][]agent.InstanceConfig, control.Agents)
 	onMachine := make([][]*instance, control.Agents)
@@ -68,23 +68,23 @@
 		configs[machine] = append(configs[machine], agent.InstanceConfig{Name: fmt.Sprintf("n%d", proxy.number), Command: []string{proxy.binary, "serve", "--config", proxy.configPath()},
 			ControlAddress: "unix:" + filepath.Join(r.Dir, fmt.Sprintf("n%d.sock", proxy.number))})
 	}
-	recordStrike := func(machine int, strike chaos.Strike) {
+	recordStrike := func(machine int, strike chaos.InstanceEvent) {
 		for _, proxy := range onMachine[machine] {
-			r.recordProxyEvent([...]ledger.Kind{ledger.ProxyKilled, ledger.ProxyStopped, ledger.ProxyWoken}[strike], proxy.number)
+			r.recordProxyEvent([...]ledger.Kind{ledger.ProxyKilled, ledger.ProxyPaused, ledger.ProxyResumed}[strike], proxy.number)
 		}
 	}
 	recordCut := func(machine, zone int, cut bool) {
-		kind := ledger.WayBack
+		kind := ledger.LinkRestored
 		if cut {
-			kind = ledger.WayCut
+			kind = ledger.LinkCut
 		}
 		for _, proxy := range onMachine[machine] {
-			r.eventLog.Write(ledger.Event{Kind: kind, Proxy: proxy.number, Server: ledger.None, Product: ledger.None, Value: int64(zone)})
+			r.eventLog.Record(ledger.Event{Kind: kind, Proxy: proxy.number, Server: ledger.None, Product: ledger.None, Value: int64(zone)})
 		}
 	}
 	var err error
-	a.Machines, err = chaos.Raise([]string{r.AgentBinary, "serve", "--log-level", "info"}, r.Dir, chaos.Layout{Agents: control.Agents, Hear: control.Agents - control.voterCount(), Sites: control.siteCount(),
-		Seed: int64(r.Seed), Clocks: control.Clocks, Duties: control.Duties, Instances: func(machine int) []agent.InstanceConfig { return configs[machine] }, Struck: recordStrike, Severed: recordCut})
+	a.Cluster, err = chaos.NewCluster([]string{r.AgentBinary, "serve", "--log-level", "info"}, r.Dir, chaos.ClusterConfig{AgentCount: control.Agents, NonVoterCount: control.Agents - control.voterCount(), SiteCount: control.siteCount(),
+		Seed: int64(r.Seed), HasClockErrors: control.Clocks, Duties: control.Duties, InstanceConfigs: func(machine int) []agent.InstanceConfig { return configs[machine] }, OnInstanceEvent: recordStrike, OnServerLinkChange: recordCut})
 	if err != nil {
 		return err
 	}
@@ -92,20 +92,20 @@
 	if control.siteCount() > 1 {
 		// Each machine has its own link to each server, so that it can be cut off from some of them.
 		for _, proxy := range r.proxies {
-			if err := proxy.discovery.Through(func(server int, endpoint string) (string, error) {
-				return a.Way(proxy.number%control.Agents, server%len(r.File.Fleet.Zones), endpoint)
+			if err := proxy.discovery.RewriteEndpoints(func(server int, endpoint string) (string, error) {
+				return a.AddServerRelay(proxy.number%control.Agents, server%len(r.File.Fleet.Zones), endpoint)
 			}); err != nil {
 				return err
 			}
 		}
 	}
 	for n := range control.Agents {
-		if err := a.Start(n); err != nil {
+		if err := a.StartAgent(n); err != nil {
 			return err
 		}
 	}
-	if err := a.Rise(ctx); err != nil {
-		return fmt.Errorf("%w:\n%s", err, lastLines(a.Log(0), 10))
+	if err := a.AwaitFirstAgreement(ctx); err != nil {
+		return fmt.Errorf("%w:\n%s", err, lastLines(a.LogPath(0), 10))
 	}
 	ctx, a.stopWatching = context.WithCancel(ctx)
 	for _, proxy := range r.proxies {
@@ -116,10 +116,10 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("the agents did not get all proxies ready in time:\n%s", lastLines(a.Log(0), 10))
+			return fmt.Errorf("the agents did not get all proxies ready in time:\n%s", lastLines(a.LogPath(0), 10))
 		}
 	}
-	a.Recorder = a.Machines.Record(context.Background())
+	a.Recorder = a.Cluster.StartRecording(context.Background())
 	return nil
 }
 
@@ -159,7 +159,7 @@
 func (a *agents) submitCommand(ctx context.Context, command clusterstate.Command) (number uint64, err error) {
 	attempt := 0
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(30 * time.Millisecond) {
-		if number, err = a.Say(ctx, attempt%a.Size(), command, 2*time.Second); err == nil {
+		if number, err = a.Submit(ctx, attempt%a.MachineCount(), command, 2*time.Second); err == nil {
 			return number, nil
 		}
 		attempt++
@@ -171,11 +171,11 @@
 func (a *agents) instanceViews(ctx context.Context) (all []agent.InstanceView) {
 	var mu sync.Mutex
 	var asking sync.WaitGroup
-	for n := range a.Size() {
+	for n := range a.MachineCount() {
 		asking.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, time.Second)
 			defer cancel()
-			_ = a.Ask(ctx, n, func(ctx context.Context, client *agent.Client) error {
+			_ = a.CallAgent(ctx, n, func(ctx context.Context, client *agent.Client) error {
 				view, err := client.View(ctx)
 				mu.Lock()
 				defer mu.Unlock()
@@ -189,22 +189,22 @@
 }
 
 // applyToAgents begins or ends a step that concerns agents or machines. What takes time goes on in the background.
-func (r *run) applyToAgents(ctx context.Context, step fleet.Step, ends bool) {
+func (r *run) applyToAgents(ctx context.Context, step fleet.ScheduledTrouble, ends bool) {
 	kind, isMachineFault := machineFault(step.Kind)
 	switch {
 	case isMachineFault && !ends:
-		for _, n := range step.Servers {
-			fault := chaos.Fault{Kind: kind, For: step.For.Span(), On: n}
+		for _, n := range step.Targets {
+			fault := chaos.Fault{Kind: kind, Duration: step.Duration.Duration(), Target: n}
 			r.background.Go(func() {
-				r.recordError(r.agents.Suffer(ctx, fault))
+				r.recordError(r.agents.InjectFault(ctx, fault))
 				r.agents.faultsDone <- struct{}{}
 			})
-			if kind == chaos.SiteDark {
-				r.background.Go(func() { r.stopSiteServers(ctx, n, step.For.Span()) })
+			if kind == chaos.SiteCrash {
+				r.background.Go(func() { r.stopSiteServers(ctx, n, step.Duration.Duration()) })
 			}
 		}
 	case step.Kind == "order-drain":
-		for _, n := range step.Servers {
+		for _, n := range step.Targets {
 			r.background.Go(func() { r.runDrainOrder(ctx, step, n, ends) })
 		}
 	case step.Kind == "roll" && !ends:
@@ -222,18 +222,18 @@
 
 // stopSiteServers stops the servers of a site that lost all its machines, and starts them again, cold, when the time is over.
 func (r *run) stopSiteServers(ctx context.Context, site int, duration time.Duration) {
-	step := fleet.Step{Trouble: fleet.Trouble{Kind: "restart", For: ledger.Of(duration)}}
+	step := fleet.ScheduledTrouble{Trouble: fleet.Trouble{Kind: "restart", Duration: ledger.FromDuration(duration)}}
 	for n := range r.fleet.Servers {
 		if n%len(r.File.Fleet.Zones) == site {
-			step.Servers = append(step.Servers, n)
+			step.Targets = append(step.Targets, n)
 		}
 	}
-	r.recordError(r.fleet.Begin(step))
+	r.recordError(r.fleet.BeginTrouble(step))
 	select {
 	case <-time.After(duration):
 	case <-ctx.Done():
 	}
-	r.recordError(r.fleet.End(step))
+	r.recordError(r.fleet.EndTrouble(step))
 }
 
 // awaitSettled waits for the end of all faults of machines, and then until all agents have, and all instances act on, a new
@@ -243,7 +243,7 @@
 		if _, isMachineFault := machineFault(s.Kind); !isMachineFault || s.At >= r.length {
 			continue
 		}
-		for range s.Servers {
+		for range s.Targets {
 			select {
 			case <-r.agents.faultsDone:
 			case <-ctx.Done():
@@ -251,24 +251,24 @@
 			}
 		}
 	}
-	r.agents.Settle(ctx, "s-nobody")
+	r.agents.AwaitSettled(ctx, "s-nobody")
 }
 
 // checkAgents ends the recording and checks it against the rules of agents and instances. If any is broken, it writes the record
 // to agents.txt in the run's directory.
 func (r *run) checkAgents(ctx context.Context) {
 	a := r.agents
-	a.record = a.End(ctx)
-	for _, b := range chaos.Judge(a.record, chaos.Bound) {
+	a.record = a.Finish(ctx)
+	for _, b := range chaos.FindBreaches(a.record, chaos.SettleBound) {
 		a.breaches++
-		r.logf("%9.3f %s: %s", b.At.Seconds(), b.Kind, b.What)
+		r.logf("%9.3f %s: %s", b.At.Seconds(), b.Kind, b.Description)
 	}
-	for _, f := range a.record.Fell {
-		r.logf("end of the log of agent a%d, which exited unexpectedly:\n%s", f.Agent, lastLines(a.Log(f.Agent), 12))
+	for _, f := range a.record.UnexpectedExits {
+		r.logf("end of the log of agent a%d, which exited unexpectedly:\n%s", f.Agent, lastLines(a.LogPath(f.Agent), 12))
 	}
 	if a.breaches > 0 {
 		path := filepath.Join(r.Dir, "agents.txt")
-		r.recordError(os.WriteFile(path, []byte(a.record.Tell()), 0o600))
+		r.recordError(os.WriteFile(path, []byte(a.record.Timeline()), 0o600))
 	}
 }
 
@@ -277,14 +277,14 @@
 
 // runDrainOrder orders a server drained, or the order undone if the step ends, and records when each instance received it. After
 // an order to drain it also counts the connections that are left at the server.
-func (r *run) runDrainOrder(ctx context.Context, step fleet.Step, server int, ends bool) {
+func (r *run) runDrainOrder(ctx context.Context, step fleet.ScheduledTrouble, server int, ends bool) {
 	action, state := clusterstate.Drain, int64(1)
 	if ends {
 		action, state = clusterstate.Undrain, 0
 	}
 	uid := r.fleet.Servers[server].UID
 	issuedAt := logic.Micros(time.Now().UnixMicro())
-	number, err := r.agents.submitCommand(ctx, clusterstate.Command{ID: fmt.Sprintf("%s-%d-%d-%d", action, step.Order, server, r.Seed), Verb: action, Server: uid, IssuedAt: issuedAt})
+	number, err := r.agents.submitCommand(ctx, clusterstate.Command{ID: fmt.Sprintf("%s-%d-%d-%d", action, step.ScriptIndex, server, r.Seed), Verb: action, Server: uid, IssuedAt: issuedAt})
 	if err != nil {
 		r.agents.mu.Lock()
 		r.agents.unheardOrders += len(r.proxies)
@@ -292,7 +292,7 @@
 		return
 	}
 	received := map[string]bool{}
-	logStart := logic.Micros(r.eventLog.Time(0).UnixMicro())
+	logStart := logic.Micros(r.eventLog.WallTime(0).UnixMicro())
 	for deadline := time.Now().Add(orderTimeout); len(received) < len(r.proxies) && time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 		for _, view := range r.agents.instanceViews(ctx) {
 			order := view.OrderResults[uid]
@@ -303,7 +303,7 @@
 			proxy := ledger.None
 			_, _ = fmt.Sscanf(view.Name, "n%d", &proxy)
 			if order.Number == number {
-				r.eventLog.Write(ledger.Event{At: max(1, ledger.Micros(order.ReceivedAt-logStart)), Kind: ledger.Told, Proxy: proxy, Server: server, Product: ledger.None,
+				r.eventLog.Record(ledger.Event{At: max(1, ledger.Micros(order.ReceivedAt-logStart)), Kind: ledger.StateAnnounced, Proxy: proxy, Server: server, Product: ledger.None,
 					Value: state, Note: ledger.ByOrder})
 				r.agents.orderLatency.Add(ledger.Micros(order.ReceivedAt - issuedAt))
 			}
@@ -315,27 +315,27 @@
 	if ends || ctx.Err() != nil {
 		return
 	}
-	wait := min(8*ledger.Second, step.For-200*ledger.Millisecond)
+	wait := min(8*ledger.Second, step.Duration-200*ledger.Millisecond)
 	select {
-	case <-time.After(wait.Span() - time.Since(time.UnixMicro(int64(issuedAt)))):
+	case <-time.After(wait.Duration() - time.Since(time.UnixMicro(int64(issuedAt)))):
 	case <-ctx.Done():
 		return
 	}
-	left := r.fleet.Standing()[server]
+	left := r.fleet.EstablishedCounts()[server]
 	r.agents.mu.Lock()
 	r.agents.leftAfterDrain = max(r.agents.leftAfterDrain, left)
 	r.agents.mu.Unlock()
 }
 
 // rollingRestart restarts all proxies, a share at a time, and waits for each share to be ready again.
-func (r *run) rollingRestart(ctx context.Context, step fleet.Step) {
+func (r *run) rollingRestart(ctx context.Context, step fleet.ScheduledTrouble) {
 	var names []string
 	for _, proxy := range r.proxies {
 		names = append(names, fmt.Sprintf("n%d", proxy.number))
 	}
 	share := cmp.Or(step.Size, 0.2)
 	for batch := range slices.Chunk(names, max(1, int(share*float64(len(names))+1e-9))) {
-		number, err := r.agents.submitCommand(ctx, clusterstate.Command{ID: fmt.Sprintf("restart-%d-%s-%d", step.Order, batch[0], r.Seed), Verb: clusterstate.Restart, Instances: batch})
+		number, err := r.agents.submitCommand(ctx, clusterstate.Command{ID: fmt.Sprintf("restart-%d-%s-%d", step.ScriptIndex, batch[0], r.Seed), Verb: clusterstate.Restart, Instances: batch})
 		if err == nil {
 			err = r.awaitRestart(ctx, batch, number)
 		}
@@ -352,21 +352,21 @@
 
 // conductedRoll has all proxies restarted by the agent that holds the conductor's duty, and waits until it reports the rolling
 // restart done.
-func (r *run) conductedRoll(ctx context.Context, step fleet.Step) {
+func (r *run) conductedRoll(ctx context.Context, step fleet.ScheduledTrouble) {
 	var names []string
 	for _, proxy := range r.proxies {
 		names = append(names, fmt.Sprintf("n%d", proxy.number))
 	}
-	id := fmt.Sprintf("roll-%d-%d", step.Order, r.Seed)
+	id := fmt.Sprintf("roll-%d-%d", step.ScriptIndex, r.Seed)
 	_, err := r.agents.submitCommand(ctx, clusterstate.Command{ID: id, Verb: clusterstate.Roll, Instances: names, Share: cmp.Or(step.Size, 0.2)})
 	startedAt := time.Now()
 	for err == nil {
-		if time.Since(startedAt) > step.For.Span() {
+		if time.Since(startedAt) > step.Duration.Duration() {
 			err = errors.New("not done in time")
 		}
 		time.Sleep(50 * time.Millisecond)
 		done := false
-		_ = r.agents.Ask(ctx, int(time.Since(startedAt)/time.Second)%r.agents.Size(), func(ctx context.Context, client *agent.Client) error {
+		_ = r.agents.CallAgent(ctx, int(time.Since(startedAt)/time.Second)%r.agents.MachineCount(), func(ctx context.Context, client *agent.Client) error {
 			view, err := client.View(ctx)
 			for _, roll := range view.RollingRestarts {
 				done = done || roll.ID == id && roll.State == clusterstate.Done
@@ -414,22 +414,22 @@
 	for _, q := range []string{"50", "90", "99", "99.9", "100"} {
 		var x float64
 		_, _ = fmt.Sscan(q, &x)
-		figures["order-p"+q] = float64(a.orderLatency.At(x/100)) / 1000
+		figures["order-p"+q] = float64(a.orderLatency.Quantile(x/100)) / 1000
 	}
 	figures["orders-unheard"], figures["drained-left"], figures["restarts-failed"] = float64(a.unheardOrders), float64(a.leftAfterDrain), float64(a.failedRestarts)
 	if a.hasRolled {
 		figures["not-once"] = float64(a.notRestartedOnce())
 		figures["unheld-ms"] = 0
-		if gaps := a.record.Unheld(agent.Conductor); len(gaps) > 0 {
+		if gaps := a.record.UnheldGaps(agent.Conductor); len(gaps) > 0 {
 			figures["unheld-ms"] = float64(gaps[len(gaps)-1].Milliseconds())
 		}
 	}
 	figures["agents-broken"], figures["settled-s"], figures["told-s"] = float64(a.breaches), -1, -1
-	if a.record.Settled > 0 {
-		figures["settled-s"] = a.record.Settled.Seconds()
+	if a.record.AgentSettleTime > 0 {
+		figures["settled-s"] = a.record.AgentSettleTime.Seconds()
 	}
-	if a.record.Told > 0 {
-		figures["told-s"] = a.record.Told.Seconds()
+	if a.record.InstanceSettleTime > 0 {
+		figures["told-s"] = a.record.InstanceSettleTime.Seconds()
 	}
 }
 
@@ -437,11 +437,11 @@
 // once.
 func (a *agents) notRestartedOnce() (count int) {
 	processes := map[string]map[int64]bool{}
-	for _, seen := range a.record.Held {
+	for _, seen := range a.record.InstanceReports {
 		if processes[seen.Instance] == nil {
 			processes[seen.Instance] = map[int64]bool{}
 		}
-		processes[seen.Instance][seen.Process] = true
+		processes[seen.Instance][seen.ProcessStartMicros] = true
 	}
 	for _, proxy := range a.instances {
 		if len(processes[fmt.Sprintf("n%d", proxy.number)]) != 2 {
--- a/lab/experiment/cost.go
+++ b/lab/experiment/cost.go
@@ -173,7 +173,7 @@
 	if err != nil {
 		return nil, err
 	}
-	eventLog := ledger.Open()
+	eventLog := ledger.NewEventLog()
 	servers, err := fleet.Start(eventLog, file.Plan(), 1)
 	if err != nil {
 		return nil, err
@@ -186,7 +186,7 @@
 	defer reservation.Close()
 	pid := 0
 	if binary != "" {
-		discovery, err := servers.Front(0, 0)
+		discovery, err := servers.StartDiscovery(0, 0)
 		if err != nil {
 			return nil, err
 		}
@@ -275,7 +275,7 @@
 // send sends the client's next message, stamped with a time.
 func (client *testClient) send(at ledger.Micros) error {
 	client.messagesSent++
-	_, err := client.Write([]byte(fleet.Seal("M", client.messagesSent, int64(at))))
+	_, err := client.Write([]byte(fleet.FormatLine("M", client.messagesSent, int64(at))))
 	return err
 }
 
--- a/lab/experiment/file.go
+++ b/lab/experiment/file.go
@@ -33,7 +33,7 @@
 	if err != nil || d < 0 {
 		return fmt.Errorf("%q is not a duration such as \"1.5s\" or \"300ms\"", text)
 	}
-	s.Micros = ledger.Of(d)
+	s.Micros = ledger.FromDuration(d)
 	return nil
 }
 
@@ -154,11 +154,11 @@
 func (f *File) targetCount(kind string) int {
 	fault, isMachineFault := machineFault(kind)
 	switch {
-	case isMachineFault && fault.OfSite():
+	case isMachineFault && fault.TargetsSite():
 		return f.Control.siteCount()
 	case isMachineFault:
 		return f.Control.Agents
-	case fleet.OfProxies(kind):
+	case fleet.IsProxyTrouble(kind):
 		return f.Proxies.Count
 	}
 	return f.Fleet.Servers
@@ -205,8 +205,8 @@
 
 // idempotencyByName and dedupScopeByName map the values of the keys product.repeat and product.reach.
 var (
-	idempotencyByName = map[string]ledger.Repeat{"harmless": ledger.Harmless, "stamped": ledger.Stamped, "one-shot": ledger.OneShot}
-	dedupScopeByName  = map[string]ledger.Reach{"": ledger.ReachAll, "all": ledger.ReachAll, "zone": ledger.ReachZone, "group": ledger.ReachCell}
+	idempotencyByName = map[string]ledger.Idempotency{"harmless": ledger.Harmless, "stamped": ledger.Stamped, "one-shot": ledger.OneShot}
+	dedupScopeByName  = map[string]ledger.DedupScope{"": ledger.DedupAll, "all": ledger.DedupAll, "zone": ledger.DedupZone, "group": ledger.DedupCell}
 )
 
 // validate returns all faults of the file, sorted by their text.
@@ -222,7 +222,7 @@
 	if f.Name == "" {
 		report("name", "is missing")
 	}
-	checkRange("length", f.Length.micros().Span().Seconds(), 1, 3600)
+	checkRange("length", f.Length.micros().Duration().Seconds(), 1, 3600)
 	if len(f.Seeds) == 0 {
 		report("seeds", "is empty")
 	}
@@ -239,8 +239,8 @@
 	checkRange("load.leave", f.Load.Leave, 0, 1)
 	checkRange("load.rest", f.Load.Rest, 0, 1)
 	checkRange("load.skew", f.Load.Skew, 0, 1)
-	checkRange("load.every", f.Load.Every.micros().Span().Seconds(), 0.01, 3600)
-	checkRange("fleet.set-up", f.Fleet.SetUp.micros().Span().Seconds(), 0, 60)
+	checkRange("load.every", f.Load.Every.micros().Duration().Seconds(), 0.01, 3600)
+	checkRange("fleet.set-up", f.Fleet.SetUp.micros().Duration().Seconds(), 0, 60)
 	if len(f.Fleet.Kind) == 0 {
 		report("fleet.kind", "is missing: add a [[fleet.kind]] section for each kind of machine")
 	}
@@ -273,7 +273,7 @@
 		if _, known := dedupScopeByName[p.Reach]; !known {
 			report(prefix+".reach", "%q is none of all, zone, group", p.Reach)
 		}
-		checkRange(prefix+".limit", p.Limit.micros().Span().Seconds(), 0.01, 600)
+		checkRange(prefix+".limit", p.Limit.micros().Duration().Seconds(), 0.01, 600)
 		if p.Quoted.Micros <= 0 || p.Quoted.Micros > p.Limit.Micros {
 			report(prefix+".quoted", "must be above 0 and at most the limit")
 		}
@@ -297,19 +297,19 @@
 	}
 	for i, t := range f.Trouble {
 		prefix := fmt.Sprintf("trouble[%d]", i)
-		if _, known := fleet.Kinds[t.Kind]; !known {
-			report(prefix+".kind", "%q is none of %s", t.Kind, strings.Join(slices.Sorted(maps.Keys(fleet.Kinds)), ", "))
+		if _, known := fleet.TroubleKinds[t.Kind]; !known {
+			report(prefix+".kind", "%q is none of %s", t.Kind, strings.Join(slices.Sorted(maps.Keys(fleet.TroubleKinds)), ", "))
 			continue
 		}
 		targets := f.targetCount(t.Kind)
-		if fleet.OfAgents(t.Kind) && f.Control.Agents == 0 {
+		if fleet.IsAgentTrouble(t.Kind) && f.Control.Agents == 0 {
 			report(prefix+".kind", "%q needs control.agents", t.Kind)
 		}
 		for _, n := range t.Servers {
 			checkRange(prefix+".servers", float64(n), 0, float64(targets-1))
 		}
 		checkRange(prefix+".part", t.Part, 0, 1)
-		if t.Part == 0 && t.Servers == nil && t.Kind != "store" && t.Kind != "rolling-restart" && !strings.HasPrefix(t.Kind, "list-") && !fleet.OfAll(t.Kind) {
+		if t.Part == 0 && t.Servers == nil && t.Kind != "store" && t.Kind != "rolling-restart" && !strings.HasPrefix(t.Kind, "list-") && !fleet.AffectsAll(t.Kind) {
 			report(prefix, "has no target: set part or servers")
 		}
 		if slices.Contains([]string{"errors", "resets", "drop"}, t.Kind) || strings.HasPrefix(t.Kind, "calls-") {
@@ -391,25 +391,25 @@
 func (f *File) products() []load.Product {
 	list := make([]load.Product, len(f.Product))
 	for i, p := range f.Product {
-		list[i] = load.Product{Name: p.Name, Share: p.Share, Life: p.Life.micros(), Quoted: p.Quoted.micros(),
-			Limit: p.Limit.micros(), Message: p.Message.micros(), Gain: cmp.Or(p.Gain, 1)}
-		if list[i].Message == 0 {
-			list[i].Message = 150 * ledger.Millisecond
+		list[i] = load.Product{Name: p.Name, Share: p.Share, MeanLifetime: p.Life.micros(), QuotedSetUpTime: p.Quoted.micros(),
+			HardLimit: p.Limit.micros(), QuotedMessageTime: p.Message.micros(), Gain: cmp.Or(p.Gain, 1)}
+		if list[i].QuotedMessageTime == 0 {
+			list[i].QuotedMessageTime = 150 * ledger.Millisecond
 		}
 	}
 	return list
 }
 
 // Plan returns the description of the simulated fleet.
-func (f *File) Plan() fleet.Plan {
+func (f *File) Plan() fleet.Config {
 	section := f.Fleet
-	plan := fleet.Plan{Servers: section.Servers, Zones: section.Zones, Between: section.Between.micros(), CellSize: section.CellSize, SetUp: section.SetUp.micros(),
-		Probe: section.Probe.micros(), Load: section.Load.micros(), LoadSpread: section.LoadSpread, LoadChange: section.LoadChange.micros(),
-		GroupCost: section.GroupCost, ConnCap: section.ConnectionsPerCore, QueueCap: section.QueuePerCore, Message: section.Message.micros(),
-		Cold:   fleet.Cold{From: section.Cold.From, Warm: section.Cold.Warm.micros(), Multiple: section.Cold.Multiple, Window: section.Cold.Window.micros()},
-		Notice: section.Notice.micros(), Weights: section.Weights, TellsLoad: section.TellsLoad, Probes: section.Probes, Sheds: section.Sheds}
+	plan := fleet.Config{ServerCount: section.Servers, Zones: section.Zones, InterZoneDelay: section.Between.micros(), CellSize: section.CellSize, SetUpWork: section.SetUp.micros(),
+		ProbeWork: section.Probe.micros(), ConnLoad: section.Load.micros(), LoadSpread: section.LoadSpread, LoadChangeInterval: section.LoadChange.micros(),
+		GroupCost: section.GroupCost, MaxConnsPerCore: section.ConnectionsPerCore, MaxQueuePerCore: section.QueuePerCore, MessageTime: section.Message.micros(),
+		ColdStart:      fleet.ColdStart{InitialShare: section.Cold.From, WarmUpTime: section.Cold.Warm.micros(), OverloadMultiple: section.Cold.Multiple, OverloadWindow: section.Cold.Window.micros()},
+		DiscoveryDelay: section.Notice.micros(), WeightMode: section.Weights, ReportsLoad: section.TellsLoad, AnswersProbes: section.Probes, MovesClientsOnDrain: section.Sheds}
 	for _, kind := range section.Kind {
-		plan.Kinds = append(plan.Kinds, fleet.Kind{Name: kind.Name, Share: kind.Share, Cores: kind.Cores, Speed: kind.Speed, Spread: kind.Spread})
+		plan.MachineKinds = append(plan.MachineKinds, fleet.MachineKind{Name: kind.Name, Share: kind.Share, Cores: kind.Cores, Speed: kind.Speed, SpeedSpread: kind.Spread})
 	}
 	return plan
 }
@@ -423,28 +423,28 @@
 		}
 		return f.tracedArrivals[:end]
 	}
-	bends := []load.Bend{{Rate: f.Load.Rate}}
+	bends := []load.RatePoint{{Rate: f.Load.Rate}}
 	if len(f.Load.Bend) > 0 {
 		bends = nil
 		for _, b := range f.Load.Bend {
-			bends = append(bends, load.Bend{At: b.At.micros(), Rate: b.Rate})
+			bends = append(bends, load.RatePoint{At: b.At.micros(), Rate: b.Rate})
 		}
 	}
-	return load.Draw(bends, length, f.products(), load.Groups{Count: f.Load.Groups, Zipf: f.Load.Zipf}, seed)
+	return load.DrawArrivals(bends, length, f.products(), load.Groups{Count: f.Load.Groups, ZipfExponent: f.Load.Zipf}, seed)
 }
 
 // clientHabits returns how the clients behave.
 func (f *File) clientHabits() load.Habits {
 	l := f.Load
-	return load.Habits{Retries: l.Retries, Wait: l.Wait.micros(), Heed: l.Heed, Rejoin: l.Rejoin.micros(), Return: l.Return.micros(),
-		Every: l.Every.micros(), Marks: l.Marks, Leave: l.Leave, Rest: l.Rest, Skew: l.Skew, Zones: len(f.Fleet.Zones)}
+	return load.Habits{MaxRetries: l.Retries, MeanRetryDelay: l.Wait.micros(), HeedShare: l.Heed, MaxRejoinDelay: l.Rejoin.micros(), MeanReturnDelay: l.Return.micros(),
+		MessageInterval: l.Every.micros(), MarkRetries: l.Marks, LeaveShare: l.Leave, IdleShare: l.Rest, FirstZoneShare: l.Skew, ZoneCount: len(f.Fleet.Zones)}
 }
 
 // troubleList returns the troubles in the form that the fleet's package takes, whose targets are not drawn yet.
 func (f *File) troubleList() []fleet.Trouble {
 	var list []fleet.Trouble
 	for _, t := range f.Trouble {
-		list = append(list, fleet.Trouble{Kind: t.Kind, At: t.At.micros(), For: t.For.micros(), Part: t.Part, Servers: t.Servers, Size: t.Size})
+		list = append(list, fleet.Trouble{Kind: t.Kind, At: t.At.micros(), Duration: t.For.micros(), Share: t.Part, Targets: t.Servers, Size: t.Size})
 	}
 	return list
 }
--- a/lab/experiment/links.go
+++ b/lab/experiment/links.go
@@ -12,7 +12,7 @@
 
 // proxyLinks relay the connections between proxies and servers, so that a script can cut or reset them.
 type proxyLinks struct {
-	net       *links.Net
+	net       *links.Network
 	cutCounts map[[2]int]int // by proxy and zone: number of troubles that cut the link now
 }
 
@@ -22,14 +22,14 @@
 
 // startLinks makes each proxy reach its servers through relays of its own, if the script has troubles on links.
 func (r *run) startLinks() error {
-	if !slices.ContainsFunc(r.steps, func(s fleet.Step) bool { return strings.HasPrefix(s.Kind, "way-") }) {
+	if !slices.ContainsFunc(r.steps, func(s fleet.ScheduledTrouble) bool { return strings.HasPrefix(s.Kind, "way-") }) {
 		return nil
 	}
 	r.links = &proxyLinks{net: links.New(int64(r.Seed)), cutCounts: map[[2]int]int{}}
 	zones := len(r.File.Fleet.Zones)
 	for _, proxy := range r.proxies {
-		err := proxy.discovery.Through(func(server int, endpoint string) (string, error) {
-			return r.links.net.Way(proxyName(proxy.number), zoneName(server%zones), endpoint)
+		err := proxy.discovery.RewriteEndpoints(func(server int, endpoint string) (string, error) {
+			return r.links.net.AddRelayBetween(proxyName(proxy.number), zoneName(server%zones), endpoint)
 		})
 		if err != nil {
 			return err
@@ -40,13 +40,13 @@
 
 // applyTrouble begins or ends a trouble on a proxy's links to a zone, and records when the zone is cut off and reachable again.
 // Troubles may overlap: the link is cut as long as one of them lasts.
-func (l *proxyLinks) applyTrouble(r *run, step fleet.Step, proxy int, ends bool) {
+func (l *proxyLinks) applyTrouble(r *run, step fleet.ScheduledTrouble, proxy int, ends bool) {
 	zone := int(step.Size) % len(r.File.Fleet.Zones)
 	if step.Kind == "way-reset" {
 		if !ends {
-			r.recordLinkEvent(ledger.WayCut, proxy, zone)
-			l.net.Reset(proxyName(proxy), zoneName(zone))
-			r.recordLinkEvent(ledger.WayBack, proxy, zone)
+			r.recordLinkEvent(ledger.LinkCut, proxy, zone)
+			l.net.ResetConnections(proxyName(proxy), zoneName(zone))
+			r.recordLinkEvent(ledger.LinkRestored, proxy, zone)
 		}
 		return
 	}
@@ -61,15 +61,15 @@
 	if isCut == wasCut {
 		return
 	}
-	kind := ledger.WayBack
+	kind := ledger.LinkRestored
 	if isCut {
-		kind = ledger.WayCut
+		kind = ledger.LinkCut
 	}
-	l.net.Both(proxyName(proxy), zoneName(zone), links.Trouble{Cut: isCut})
+	l.net.SetBothDirections(proxyName(proxy), zoneName(zone), links.Impairment{Cut: isCut})
 	r.recordLinkEvent(kind, proxy, zone)
 }
 
 // recordLinkEvent writes a cut, or its end, between a proxy and a zone into the event log.
 func (r *run) recordLinkEvent(kind ledger.Kind, proxy, zone int) {
-	r.eventLog.Write(ledger.Event{Kind: kind, Proxy: proxy, Server: ledger.None, Product: ledger.None, Value: int64(zone)})
+	r.eventLog.Record(ledger.Event{Kind: kind, Proxy: proxy, Server: ledger.None, Product: ledger.None, Value: int64(zone)})
 }
--- a/lab/experiment/proxies.go
+++ b/lab/experiment/proxies.go
@@ -27,7 +27,7 @@
 	address     string
 	dir         string
 	binary      string
-	discovery   *fleet.Front
+	discovery   *fleet.DiscoveryServer
 	reservation io.Closer // of its address
 	seed        uint64
 
@@ -53,13 +53,13 @@
 	var products []table
 	var messages []float64
 	ms := func(s Duration) float64 { return float64(s.Micros) / 1000 }
-	idempotencies := map[ledger.Repeat]string{ledger.Harmless: "repeatable", ledger.Stamped: "by_key", ledger.OneShot: "once"}
-	dedupScopes := map[ledger.Reach]string{ledger.ReachAll: "all", ledger.ReachZone: "zone", ledger.ReachCell: "cell"}
+	idempotencies := map[ledger.Idempotency]string{ledger.Harmless: "repeatable", ledger.Stamped: "by_key", ledger.OneShot: "once"}
+	dedupScopes := map[ledger.DedupScope]string{ledger.DedupAll: "all", ledger.DedupZone: "zone", ledger.DedupCell: "cell"}
 	loadProducts := f.products()
 	for index, p := range f.Product {
 		products = append(products, table{"name": p.Name, "idempotency": idempotencies[idempotencyByName[p.Repeat]], "gain": loadProducts[index].Gain,
 			"group": dedupScopes[dedupScopeByName[p.Reach]], "window-ms": ms(p.Window), "quoted-time-ms": ms(p.Quoted), "hard-limit-ms": ms(p.Limit)})
-		messages = append(messages, float64(loadProducts[index].Message)/1000)
+		messages = append(messages, float64(loadProducts[index].QuotedMessageTime)/1000)
 	}
 	kinds := []string{}
 	for _, kind := range f.Fleet.Kind {
--- a/lab/experiment/proxyfaults.go
+++ b/lab/experiment/proxyfaults.go
@@ -15,20 +15,20 @@
 
 // callFaults maps the kinds of trouble in which a proxy's system calls fail to the fault; the trouble's size is its chance.
 var callFaults = map[string]sysfault.Fault{
-	"calls-accept":  {Call: sysfault.Accept},
-	"calls-socket":  {Call: sysfault.Socket},
-	"calls-connect": {Call: sysfault.Connect},
-	"calls-wait":    {Call: sysfault.Wait},
-	"calls-copy":    {Call: sysfault.Copy},
-	"calls-control": {Call: sysfault.Control},
-	"calls-open":    {Call: sysfault.Open},
-	"calls-read":    {Call: sysfault.Read, Short: true},
-	"calls-write":   {Call: sysfault.Write, Short: true},
+	"calls-accept":  {Group: sysfault.Accept},
+	"calls-socket":  {Group: sysfault.Socket},
+	"calls-connect": {Group: sysfault.Connect},
+	"calls-wait":    {Group: sysfault.Wait},
+	"calls-copy":    {Group: sysfault.Duplicate},
+	"calls-control": {Group: sysfault.Control},
+	"calls-open":    {Group: sysfault.Open},
+	"calls-read":    {Group: sysfault.Read, Short: true},
+	"calls-write":   {Group: sysfault.Write, Short: true},
 }
 
 // syscallFaults are the system call faults of a proxy. They last over restarts of its process.
 type syscallFaults struct {
-	intercepted     []sysfault.Call // calls that its processes are filtered for; without any there is no filter
+	intercepted     []sysfault.CallGroup // calls that its processes are filtered for; without any there is no filter
 	mu              sync.Mutex
 	shim            *sysfault.Shim // filter of the running process
 	active          map[int]sysfault.Fault
@@ -50,7 +50,7 @@
 	s.earlierFailures = s.failuresLocked()
 	s.shim, s.endFuncs = shim, map[int]func(){}
 	for step, fault := range s.active {
-		if !breaksStartup(fault.Call) {
+		if !breaksStartup(fault.Group) {
 			s.endFuncs[step] = shim.Begin(fault)
 		}
 	}
@@ -59,8 +59,8 @@
 
 // breaksStartup reports whether the program loader or the Go runtime can't start a program if a call fails: faults of such calls
 // only begin once the process is ready.
-func breaksStartup(call sysfault.Call) bool {
-	return call == sysfault.Copy || call == sysfault.Control || call == sysfault.Open
+func breaksStartup(call sysfault.CallGroup) bool {
+	return call == sysfault.Duplicate || call == sysfault.Control || call == sysfault.Open
 }
 
 // processReady begins the active faults that were held back while the process started.
@@ -103,7 +103,7 @@
 	if s.shim == nil {
 		return total
 	}
-	for _, byError := range s.shim.Failed() {
+	for _, byError := range s.shim.Failures() {
 		for _, n := range byError {
 			total += n
 		}
@@ -230,5 +230,5 @@
 	for _, p := range f.Product {
 		longest = max(longest, p.Limit.micros())
 	}
-	return longest.Span()
+	return longest.Duration()
 }
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -143,14 +143,14 @@
 type run struct {
 	*File
 	RunOptions
-	eventLog         *ledger.Book
+	eventLog         *ledger.EventLog
 	fleet            *fleet.Fleet
 	proxies          []*instance
 	agents           *agents // nil if the experiment has none
 	clients          *load.Clients
 	tally            *load.Tally
 	length           ledger.Micros
-	steps            []fleet.Step
+	steps            []fleet.ScheduledTrouble
 	stopCrowds       map[[2]int]func() // by step and proxy: ends the crowd of idle connections there
 	links            *proxyLinks       // between proxies and servers; nil if the script has no trouble on them
 	background       sync.WaitGroup    // of troubles that go on beside the script
@@ -162,12 +162,12 @@
 // Run plays the experiment once. Broken rules and missed expectations are reported in the result; an error means that the
 // run could not be carried out, or that ctx ended.
 func (f *File) Run(ctx context.Context, options RunOptions) (*Result, error) {
-	r := &run{File: f, RunOptions: options, eventLog: ledger.Open(), length: f.Length.micros(), stopCrowds: map[[2]int]func(){}}
+	r := &run{File: f, RunOptions: options, eventLog: ledger.NewEventLog(), length: f.Length.micros(), stopCrowds: map[[2]int]func(){}}
 	if options.Quick {
 		r.length = min(r.length, maxQuickLength)
 	}
 	var err error
-	if r.steps, err = fleet.Draw(f.troubleList(), f.targetCount, options.Seed); err != nil {
+	if r.steps, err = fleet.Schedule(f.troubleList(), f.targetCount, options.Seed); err != nil {
 		return nil, err
 	}
 	if r.fleet, err = fleet.Start(r.eventLog, f.Plan(), options.Seed); err != nil {
@@ -190,7 +190,7 @@
 func (r *run) startProxies(ctx context.Context) error {
 	for n := range r.File.Proxies.Count {
 		zone := n % len(r.File.Fleet.Zones)
-		discovery, err := r.fleet.Front(n, zone)
+		discovery, err := r.fleet.StartDiscovery(n, zone)
 		if err != nil {
 			return err
 		}
@@ -289,16 +289,16 @@
 func (r *run) play(ctx context.Context) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	result := &Result{Experiment: r.Name, Seed: r.Seed, Placement: r.Placement, LengthSeconds: r.length.Span().Seconds(), Figures: map[string]float64{}}
+	result := &Result{Experiment: r.Name, Seed: r.Seed, Placement: r.Placement, LengthSeconds: r.length.Duration().Seconds(), Figures: map[string]float64{}}
 	if r.Placement == PlacementProxies {
 		result.Proxy = filepath.Base(r.ProxyBinary)
 	}
 	lost := 0
 	if n := r.Load.Carried; n > 0 {
 		r.logf("resuming %d connections from before the run", n)
-		resumed := load.Crowd(n, 0, 0, r.Seed)
+		resumed := load.PermanentArrivals(n, 0, 0, r.Seed)
 		for i := range resumed {
-			resumed[i].Life = r.products()[0].Life * 4
+			resumed[i].Lifetime = r.products()[0].MeanLifetime * 4
 		}
 		lost = r.clients.Carry(ctx, resumed, func(i int) string { return r.fleet.Servers[i%len(r.fleet.Servers)].UID })
 	}
@@ -320,13 +320,13 @@
 	for second := 1; ; second++ {
 		at := start + min(ledger.Micros(second)*ledger.Second, r.length)
 		select {
-		case <-time.After((at - r.eventLog.Now()).Span()):
+		case <-time.After((at - r.eventLog.Now()).Duration()):
 		case <-ctx.Done():
 			script.Wait()
 			r.clients.Wait()
 			return nil, ctx.Err()
 		}
-		established := r.fleet.Standing()
+		established := r.fleet.EstablishedCounts()
 		result.EstablishedBySecond = append(result.EstablishedBySecond, established)
 		total := 0
 		for _, n := range established {
@@ -334,7 +334,7 @@
 		}
 		maxEstablished = max(maxEstablished, total)
 		if second%5 == 0 {
-			r.logf("%3d of %.0f s, %d connections", second, r.length.Span().Seconds(), total)
+			r.logf("%3d of %.0f s, %d connections", second, r.length.Duration().Seconds(), total)
 		}
 		if at >= start+r.length {
 			break
@@ -344,7 +344,7 @@
 	seconds := time.Since(startedAt).Seconds()
 	longestLimit := ledger.Micros(0)
 	for _, p := range r.products() {
-		longestLimit = max(longestLimit, p.Limit)
+		longestLimit = max(longestLimit, p.HardLimit)
 	}
 	end := r.eventLog.Now()
 	script.Wait()
@@ -354,7 +354,7 @@
 		r.checkAgents(ctx)
 	}
 	// Let attempts under way at servers end, so that the event log is complete.
-	time.Sleep(finishWait.Span() / 4)
+	time.Sleep(finishWait.Duration() / 4)
 	if r.err != nil {
 		return nil, r.err
 	}
@@ -372,7 +372,7 @@
 	for {
 		select {
 		case <-time.After(300 * time.Millisecond):
-			r.fleet.Relieve()
+			r.fleet.Rebalance()
 		case <-ctx.Done():
 			return
 		}
@@ -402,21 +402,21 @@
 	if r.Placement != PlacementProxies {
 		return nil
 	}
-	return ledger.Judge(r.eventLog.Events(), r.ruleParameters(end))
+	return ledger.FindBreaches(r.eventLog.Events(), r.ruleParameters(end))
 }
 
 // ruleParameters returns what the protocol's rules depend on: limits, products, and the place of each server.
-func (f *File) ruleParameters(end ledger.Micros) ledger.Terms {
-	parameters := ledger.Terms{Grace: f.Proxies.Grace.micros(), Dispatches: f.Proxies.Dispatches, End: end}
+func (f *File) ruleParameters(end ledger.Micros) ledger.Parameters {
+	parameters := ledger.Parameters{DrainGrace: f.Proxies.Grace.micros(), MaxDispatches: f.Proxies.Dispatches, End: end}
 	for _, p := range f.Product {
-		parameters.Products = append(parameters.Products, ledger.Product{Name: p.Name, Repeat: idempotencyByName[p.Repeat], Reach: dedupScopeByName[p.Reach], Window: p.Window.micros()})
+		parameters.Products = append(parameters.Products, ledger.Product{Name: p.Name, Idempotency: idempotencyByName[p.Repeat], DedupScope: dedupScopeByName[p.Reach], DedupWindow: p.Window.micros()})
 	}
 	for i := range f.Fleet.Servers {
 		cell := 0
 		if f.Fleet.CellSize > 0 {
 			cell = i / f.Fleet.CellSize
 		}
-		parameters.Servers = append(parameters.Servers, ledger.Place{Zone: i % len(f.Fleet.Zones), Cell: cell})
+		parameters.Servers = append(parameters.Servers, ledger.ServerLocation{Zone: i % len(f.Fleet.Zones), Cell: cell})
 	}
 	return parameters
 }
@@ -426,7 +426,7 @@
 func (r *run) playTroubles(ctx context.Context, start ledger.Micros) {
 	type moment struct {
 		at   ledger.Micros
-		step fleet.Step
+		step fleet.ScheduledTrouble
 		ends bool
 	}
 	var moments []moment
@@ -434,26 +434,26 @@
 		if s.At >= r.length {
 			continue
 		}
-		moments = append(moments, moment{s.At, s, false}, moment{min(s.At+s.For, r.length), s, true})
-		r.troubleIntervals = append(r.troubleIntervals, TroubleInterval{s.At.Span().Seconds(), min(s.At+s.For, r.length).Span().Seconds(), s.String()})
+		moments = append(moments, moment{s.At, s, false}, moment{min(s.At+s.Duration, r.length), s, true})
+		r.troubleIntervals = append(r.troubleIntervals, TroubleInterval{s.At.Duration().Seconds(), min(s.At+s.Duration, r.length).Duration().Seconds(), s.String()})
 	}
 	slices.SortStableFunc(moments, func(a, b moment) int { return int(a.at - b.at) })
 	for _, m := range moments {
 		select {
-		case <-time.After((start + m.at - r.eventLog.Now()).Span()):
+		case <-time.After((start + m.at - r.eventLog.Now()).Duration()):
 		case <-ctx.Done():
 			return
 		}
 		var err error
 		switch {
-		case fleet.OfAgents(m.step.Kind):
+		case fleet.IsAgentTrouble(m.step.Kind):
 			r.applyToAgents(ctx, m.step, m.ends)
-		case fleet.OfProxies(m.step.Kind):
+		case fleet.IsProxyTrouble(m.step.Kind):
 			err = r.applyToProxies(m.step, m.ends)
 		case m.ends:
-			err = r.fleet.End(m.step)
+			err = r.fleet.EndTrouble(m.step)
 		default:
-			err = r.fleet.Begin(m.step)
+			err = r.fleet.BeginTrouble(m.step)
 		}
 		if !m.ends {
 			r.logf("%s", m.step)
@@ -476,27 +476,27 @@
 
 // recordProxyEvent writes an event of proxy n into the event log.
 func (r *run) recordProxyEvent(kind ledger.Kind, n int) {
-	r.eventLog.Write(ledger.Event{Kind: kind, Proxy: n, Server: ledger.None, Product: ledger.None})
+	r.eventLog.Record(ledger.Event{Kind: kind, Proxy: n, Server: ledger.None, Product: ledger.None})
 }
 
 // applyToProxies begins or ends a step at the proxies that it names. What takes time goes on in the background.
-func (r *run) applyToProxies(step fleet.Step, ends bool) error {
-	for _, n := range step.Servers {
+func (r *run) applyToProxies(step fleet.ScheduledTrouble, ends bool) error {
+	for _, n := range step.Targets {
 		if n >= len(r.proxies) {
 			continue // a baseline has no proxies
 		}
 		proxy := r.proxies[n]
 		switch {
 		case step.Kind == "proxy-stop" && !ends:
-			r.recordProxyEvent(ledger.ProxyStopped, n)
+			r.recordProxyEvent(ledger.ProxyPaused, n)
 			proxy.signal(syscall.SIGSTOP)
 		case step.Kind == "proxy-stop":
 			proxy.signal(syscall.SIGCONT)
-			r.recordProxyEvent(ledger.ProxyWoken, n)
+			r.recordProxyEvent(ledger.ProxyResumed, n)
 		case step.Kind == "proxy-reload" && !ends:
 			proxy.signal(syscall.SIGHUP)
 		case step.Kind == "list-moved" && !ends:
-			if err := proxy.discovery.Move(1500 * time.Millisecond); err != nil {
+			if err := proxy.discovery.MoveAddress(1500 * time.Millisecond); err != nil {
 				return err
 			}
 			if err := proxy.writeConfig(r.File); err != nil {
@@ -507,14 +507,14 @@
 			r.links.applyTrouble(r, step, n, ends)
 		case strings.HasPrefix(step.Kind, "calls-") && !ends:
 			fault := callFaults[step.Kind]
-			fault.Chance = step.Size
-			proxy.syscalls.begin(step.Order, fault)
+			fault.Probability = step.Size
+			proxy.syscalls.begin(step.ScriptIndex, fault)
 		case strings.HasPrefix(step.Kind, "calls-"):
-			proxy.syscalls.end(step.Order)
+			proxy.syscalls.end(step.ScriptIndex)
 		case step.Kind == "proxy-crowd" && !ends:
-			r.stopCrowds[[2]int{step.Order, n}] = openIdleCrowd(proxy.address, int(step.Size), r.newRand(step, n))
+			r.stopCrowds[[2]int{step.ScriptIndex, n}] = openIdleCrowd(proxy.address, int(step.Size), r.newRand(step, n))
 		case step.Kind == "proxy-crowd":
-			if end := r.stopCrowds[[2]int{step.Order, n}]; end != nil {
+			if end := r.stopCrowds[[2]int{step.ScriptIndex, n}]; end != nil {
 				r.background.Go(end)
 			}
 		case step.Kind == "proxy-series" && !ends:
@@ -554,7 +554,7 @@
 					r.recordError(err)
 					return
 				}
-				r.recordProxyEvent(ledger.ProxyBack, n)
+				r.recordProxyEvent(ledger.ProxyRestarted, n)
 			})
 		}
 	}
@@ -562,56 +562,56 @@
 }
 
 // interceptedCalls returns the system calls that the script makes fail.
-func (r *run) interceptedCalls() (calls []sysfault.Call) {
+func (r *run) interceptedCalls() (calls []sysfault.CallGroup) {
 	for _, s := range r.steps {
-		if fault, isCallFault := callFaults[s.Kind]; isCallFault && !slices.Contains(calls, fault.Call) {
-			calls = append(calls, fault.Call)
+		if fault, isCallFault := callFaults[s.Kind]; isCallFault && !slices.Contains(calls, fault.Group) {
+			calls = append(calls, fault.Group)
 		}
 	}
 	return calls
 }
 
 // newRand returns the random source of a step at a proxy.
-func (r *run) newRand(step fleet.Step, proxy int) *rand.Rand {
-	return rand.New(rand.NewPCG(r.Seed, uint64(step.Order)<<16|uint64(proxy)))
+func (r *run) newRand(step fleet.ScheduledTrouble, proxy int) *rand.Rand {
+	return rand.New(rand.NewPCG(r.Seed, uint64(step.ScriptIndex)<<16|uint64(proxy)))
 }
 
 // fillFigures sets the figures of a result, its distributions and its values by second. maxEstablished is the largest number
 // of connections, lost the number of connections from before the run that were not established again.
 func (r *run) fillFigures(result *Result, breaches []ledger.Breach, maxEstablished, lost int) {
 	tally, figures := r.tally, result.Figures
-	figures["served"], figures["served-worst-10s"] = tally.Share(0, r.length), tally.WorstWindow(10)
+	figures["served"], figures["served-worst-10s"] = tally.ServedShare(0, r.length), tally.WorstServedShare(10)
 	lastTroubleEnd := ledger.Micros(0)
 	for _, s := range r.steps {
-		lastTroubleEnd = max(lastTroubleEnd, min(s.At+s.For, r.length))
+		lastTroubleEnd = max(lastTroubleEnd, min(s.At+s.Duration, r.length))
 	}
-	figures["served-after"] = tally.Share(max(min(lastTroubleEnd+20*ledger.Second, r.length*4/5), 0), r.length)
-	result.ServedBySecond = tally.BySecond()
+	figures["served-after"] = tally.ServedShare(max(min(lastTroubleEnd+20*ledger.Second, r.length*4/5), 0), r.length)
+	result.ServedBySecond = tally.ServedShareBySecond()
 	figures["recovered-s"] = recoverySeconds(result.ServedBySecond, int((lastTroubleEnd+ledger.Second-1)/ledger.Second))
 	for second, x := range result.ServedBySecond {
 		if math.IsNaN(x) {
 			result.ServedBySecond[second] = -1
 		}
 	}
-	result.ArrivalsBySecond = tally.Arrivals()
-	requests, established := float64(tally.Asks.Load()), float64(tally.Ups.Load())
+	result.ArrivalsBySecond = tally.ArrivalsBySecond()
+	requests, established := float64(tally.Requests.Load()), float64(tally.Established.Load())
 	figures["asks"], figures["ups"], figures["busy"], figures["failed"] = requests, established, float64(tally.Busy.Load()), float64(tally.Failed.Load())
-	figures["nothing"], figures["refused"], figures["retries"] = float64(tally.Nothing.Load()), float64(tally.Refused.Load()), float64(tally.Retries.Load())
-	figures["given-up"], figures["moves"], figures["breaks"] = float64(tally.GivenUp.Load()), float64(tally.Moves.Load()), float64(tally.Breaks.Load())
+	figures["nothing"], figures["refused"], figures["retries"] = float64(tally.Unanswered.Load()), float64(tally.ConnectFailures.Load()), float64(tally.Retries.Load())
+	figures["given-up"], figures["moves"], figures["breaks"] = float64(tally.GivenUp.Load()), float64(tally.Moves.Load()), float64(tally.Disconnects.Load())
 	figures["moves-share"], figures["messages"] = figures["moves"]/max(1, established), float64(tally.Messages.Load())
-	for name, s := range map[string]*load.Series{"set-up": tally.SetUp, "answer": tally.Answer, "line": tally.Line, "late-arrival": tally.Late, "late-line": tally.LateSend} {
+	for name, s := range map[string]*load.Histogram{"set-up": tally.SetUpLatency, "answer": tally.AnswerLatency, "line": tally.MessageLatency, "late-arrival": tally.ArrivalLateness, "late-line": tally.MessageLateness} {
 		for _, q := range []string{"50", "90", "99", "99.9", "100"} {
 			var x float64
 			_, _ = fmt.Sscan(q, &x)
-			figures[name+"-p"+q] = float64(s.At(x/100)) / 1000
+			figures[name+"-p"+q] = float64(s.Quantile(x/100)) / 1000
 		}
 	}
 	for _, q := range quantiles {
-		result.SetUpQuantiles = append(result.SetUpQuantiles, Quantile{q, float64(tally.SetUp.At(q)) / 1000})
-		result.LineQuantiles = append(result.LineQuantiles, Quantile{q, float64(tally.Line.At(q)) / 1000})
+		result.SetUpQuantiles = append(result.SetUpQuantiles, Quantile{q, float64(tally.SetUpLatency.Quantile(q)) / 1000})
+		result.LineQuantiles = append(result.LineQuantiles, Quantile{q, float64(tally.MessageLatency.Quantile(q)) / 1000})
 	}
-	figures["answers-over-limit"] = float64(tally.Answer.Over(ledger.Second))
-	figures["breaches"], figures["tipped"] = float64(len(breaches)), float64(r.fleet.Tipped())
+	figures["answers-over-limit"] = float64(tally.AnswerLatency.CountAbove(ledger.Second))
+	figures["breaches"], figures["tipped"] = float64(len(breaches)), float64(r.fleet.CollapsedCount())
 	for _, rule := range ledger.Rules {
 		figures["breach."+string(rule)] = 0
 	}
@@ -621,7 +621,7 @@
 			result.Breaches = append(result.Breaches, b.String())
 		}
 	}
-	figures["sends-after-drain"] = figures["breach."+string(ledger.DrainKept)]
+	figures["sends-after-drain"] = figures["breach."+string(ledger.DrainRespected)]
 	for _, proxy := range r.proxies {
 		proxy.mu.Lock()
 		figures["crashes"] += float64(proxy.crashes)
--- a/lab/fleet/vanish.go
+++ b/lab/fleet/blackhole.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// vanish takes the place of a listener with one that accepts nobody and whose queue is full, so that the kernel
+// blackholeAddress takes the place of a listener with one that accepts nobody and whose queue is full, so that the kernel
 // drops what comes: a connection to it neither comes up nor is refused. The call returns what has it listen no more.
-func vanish(address string) (func(), error) {
+func blackholeAddress(address string) (func(), error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
--- a/lab/fleet/discovery.go
+++ b/lab/fleet/discovery.go
@@ -14,20 +14,20 @@
 	"hatchproxy/lab/ledger"
 )
 
-// state is a server's in the list. Its numbers are those of ledger.Told.
-type state int
+// serverState is a server's in the list. Its numbers are those of ledger.Told.
+type serverState int
 
 const (
-	ready state = iota
-	draining
-	gone
+	stateReady serverState = iota
+	stateDraining
+	stateGone
 )
 
-var stateWords = [...]string{"ready", "draining", "gone"}
+var stateNames = [...]string{"ready", "draining", "gone"}
 
-// entry is a server on the list, in the form of the protocol's page but for the endpoint, which differs from zone to
+// listEntry is a server on the list, in the form of the protocol's page but for the endpoint, which differs from zone to
 // zone. A list belongs to no proxy: each asks at a front of its own.
-type entry struct {
+type listEntry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
 	AZ       string  `json:"az"`
@@ -37,98 +37,100 @@
 	Weight   float64 `json:"capacity_hint"`
 	BootMS   int64   `json:"boot_ms"`
 
-	server    int
-	state     state
-	endpoints []string // by zone
-	rev       int64
-	at        Micros
-	old       bool // it is on the list since long before the run
+	serverNumber    int
+	state           serverState
+	endpoints       []string // by zone
+	rev             int64
+	changedAt       Micros
+	listedBeforeRun bool // it is on the list since long before the run
 }
 
-// longAgo is more than any lateness of discovery.
-const longAgo = 3600 * ledger.Second
+// beforeRunAge is more than any lateness of discovery.
+const beforeRunAge = 3600 * ledger.Second
 
-// List is the true list with its history, which fronts tell late, stale or not at all.
-type List struct {
-	book    *ledger.Book
-	mu      sync.Mutex
-	history []entry // the entry at i is of version i+1
-	changed chan struct{}
+// ServerList is the true list with its history, which fronts tell late, stale or not at all.
+type ServerList struct {
+	eventLog *ledger.EventLog
+	mu       sync.Mutex
+	history  []listEntry // the entry at i is of version i+1
+	changed  chan struct{}
 }
 
-// NewList makes an empty list.
-func NewList(book *ledger.Book) *List { return &List{book: book, changed: make(chan struct{})} }
+// NewServerList makes an empty list.
+func NewServerList(book *ledger.EventLog) *ServerList {
+	return &ServerList{eventLog: book, changed: make(chan struct{})}
+}
 
-func (l *List) set(e entry) {
+func (l *ServerList) set(e listEntry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e.rev, e.at = int64(len(l.history)+1), l.book.Now()
-	if e.old {
-		e.at = -longAgo
+	e.rev, e.changedAt = int64(len(l.history)+1), l.eventLog.Now()
+	if e.listedBeforeRun {
+		e.changedAt = -beforeRunAge
 	}
 	l.history = append(l.history, e)
-	l.wake()
+	l.notifyChange()
 }
 
-func (l *List) wake() {
+func (l *ServerList) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Front is the discovery that one proxy asks. How it fails is for all fronts of a list alike, or for one.
-type Front struct {
-	list  *List
+// DiscoveryServer is the discovery that one proxy asks. How it fails is for all fronts of a list alike, or for one.
+type DiscoveryServer struct {
+	list  *ServerList
 	proxy int
 	zone  int
 
-	mu      sync.Mutex
-	address string
-	server  *http.Server
-	lag     Micros
-	frozen  int64 // the version that it goes on telling; 0 if the newest
-	broken  string
-	told    map[int]int64     // the version last told, by server
-	reached map[string]string // by endpoint
-	calls   int
-	hushed  int // calls up to this one are never answered
+	mu                sync.Mutex
+	address           string
+	httpServer        *http.Server
+	delay             Micros
+	frozenRev         int64 // the version that it goes on telling; 0 if the newest
+	failure           string
+	sentRevs          map[int]int64     // the version last told, by server
+	endpointOverrides map[string]string // by endpoint
+	requestCount      int
+	lastUnanswered    int // calls up to this one are never answered
 }
 
-// garbage is what a front answers that has lost its mind; each is to be refused whole.
-var garbage = []string{"{", `{"rev":9,"all":true,"targets":[{"uid":"x","state":"odd"}]}`, `{"all":true,"targets":[]}`,
+// malformedAnswers is what a front answers that has lost its mind; each is to be refused whole.
+var malformedAnswers = []string{"{", `{"rev":9,"all":true,"targets":[{"uid":"x","state":"odd"}]}`, `{"all":true,"targets":[]}`,
 	`{"rev":"x"}`, "<html>no</html>", ""}
 
-// Open starts a front for a proxy of a zone, on a loopback address.
-func (l *List) Open(proxy, zone int) (*Front, error) {
-	return l.openAt("127.0.0.1:0", proxy, zone)
+// StartDiscovery starts a front for a proxy of a zone, on a loopback address.
+func (l *ServerList) StartDiscovery(proxy, zone int) (*DiscoveryServer, error) {
+	return l.startDiscoveryAt("127.0.0.1:0", proxy, zone)
 }
 
-func (l *List) openAt(address string, proxy, zone int) (*Front, error) {
-	f := &Front{list: l, proxy: proxy, zone: zone, told: map[int]int64{}}
+func (l *ServerList) startDiscoveryAt(address string, proxy, zone int) (*DiscoveryServer, error) {
+	f := &DiscoveryServer{list: l, proxy: proxy, zone: zone, sentRevs: map[int]int64{}}
 	return f, f.listen(address)
 }
 
-func (f *Front) listen(address string) error {
+func (f *DiscoveryServer) listen(address string) error {
 	at, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
 	server := &http.Server{Handler: f, ReadHeaderTimeout: 10 * time.Second}
 	f.mu.Lock()
-	f.address, f.server = at.Addr().String(), server
+	f.address, f.httpServer = at.Addr().String(), server
 	f.mu.Unlock()
 	go func() { _ = server.Serve(at) }() // it ends with Close
 	return nil
 }
 
 // Address is where it listens now.
-func (f *Front) Address() string {
+func (f *DiscoveryServer) Address() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.address
 }
 
-// Through has it tell, for each endpoint, where its proxy reaches that; asked once for each, now for those on the list.
-func (f *Front) Through(way func(server int, endpoint string) (string, error)) error {
+// RewriteEndpoints has it tell, for each endpoint, where its proxy reaches that; asked once for each, now for those on the list.
+func (f *DiscoveryServer) RewriteEndpoints(way func(server int, endpoint string) (string, error)) error {
 	f.list.mu.Lock()
 	history := f.list.history
 	f.list.mu.Unlock()
@@ -137,28 +139,28 @@
 		at := e.endpoints[f.zone]
 		if reached[at] == "" {
 			var err error
-			if reached[at], err = way(e.server, at); err != nil {
+			if reached[at], err = way(e.serverNumber, at); err != nil {
 				return err
 			}
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reached = reached
+	f.endpointOverrides = reached
 	return nil
 }
 
-// Calls tells how many calls have come.
-func (f *Front) Calls() int {
+// RequestCount tells how many calls have come.
+func (f *DiscoveryServer) RequestCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.calls
+	return f.requestCount
 }
 
-// Move has it listen at another address; the old one takes no new connection and closes its open ones after a while.
-func (f *Front) Move(after time.Duration) error {
+// MoveAddress has it listen at another address; the old one takes no new connection and closes its open ones after a while.
+func (f *DiscoveryServer) MoveAddress(after time.Duration) error {
 	f.mu.Lock()
-	old := f.server
+	old := f.httpServer
 	f.mu.Unlock()
 	if err := f.listen("127.0.0.1:0"); err != nil {
 		return err
@@ -174,74 +176,76 @@
 }
 
 // Close ends it.
-func (f *Front) Close() {
+func (f *DiscoveryServer) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_ = f.server.Close()
+	_ = f.httpServer.Close()
 }
 
-// Hush has it never answer the calls that are out now: open watches fall silent.
-func (f *Front) Hush() { f.change(func() { f.hushed = f.calls }) }
+// SilenceOpenRequests has it never answer the calls that are out now: open watches fall silent.
+func (f *DiscoveryServer) SilenceOpenRequests() {
+	f.update(func() { f.lastUnanswered = f.requestCount })
+}
 
-// Late has it tell changes that much later; Freeze has it tell no change at all, Break has it answer 503 ("down"),
+// SetDelay has it tell changes that much later; Freeze has it tell no change at all, Break has it answer 503 ("down"),
 // garbage ("garbage"), nothing to whoever calls ("silent"), or these words; "" mends it.
-func (f *Front) Late(by Micros) { f.change(func() { f.lag = by }) }
+func (f *DiscoveryServer) SetDelay(by Micros) { f.update(func() { f.delay = by }) }
 
-func (f *Front) Freeze(on bool) {
-	f.change(func() {
-		f.frozen = 0
+func (f *DiscoveryServer) SetFrozen(on bool) {
+	f.update(func() {
+		f.frozenRev = 0
 		if on {
-			f.frozen = f.visible()
+			f.frozenRev = f.visibleRev()
 		}
 	})
 }
 
-func (f *Front) Break(how string) { f.change(func() { f.broken = how }) }
+func (f *DiscoveryServer) SetFailure(how string) { f.update(func() { f.failure = how }) }
 
-func (f *Front) change(how func()) {
+func (f *DiscoveryServer) update(how func()) {
 	f.list.mu.Lock()
 	defer f.list.mu.Unlock()
 	f.mu.Lock()
 	how()
 	f.mu.Unlock()
-	f.list.wake()
+	f.list.notifyChange()
 }
 
-// visible is the newest version that it tells now. The list's lock is held.
-func (f *Front) visible() int64 {
-	if f.frozen > 0 {
-		return f.frozen
+// visibleRev is the newest version that it tells now. The list's lock is held.
+func (f *DiscoveryServer) visibleRev() int64 {
+	if f.frozenRev > 0 {
+		return f.frozenRev
 	}
-	now, rev := f.list.book.Now(), int64(len(f.list.history))
-	for rev > 0 && f.list.history[rev-1].at+f.lag > now {
+	now, rev := f.list.eventLog.Now(), int64(len(f.list.history))
+	for rev > 0 && f.list.history[rev-1].changedAt+f.delay > now {
 		rev--
 	}
 	return rev
 }
 
-// next is when a change becomes visible that is not yet. The list's lock is held.
-func (f *Front) next(rev int64) time.Duration {
-	if f.frozen > 0 || rev >= int64(len(f.list.history)) {
+// untilNextRev is when a change becomes visible that is not yet. The list's lock is held.
+func (f *DiscoveryServer) untilNextRev(rev int64) time.Duration {
+	if f.frozenRev > 0 || rev >= int64(len(f.list.history)) {
 		return time.Hour
 	}
-	return max(0, f.list.history[rev].at+f.lag-f.list.book.Now()).Span() + time.Millisecond
+	return max(0, f.list.history[rev].changedAt+f.delay-f.list.eventLog.Now()).Duration() + time.Millisecond
 }
 
 // ServeHTTP answers GET /v1/servers.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *DiscoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	whole := err != nil
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
 	late := time.After(time.Duration(hold) * time.Millisecond)
 	f.mu.Lock()
-	f.calls++
-	number := f.calls
+	f.requestCount++
+	number := f.requestCount
 	f.mu.Unlock()
 	f.list.mu.Lock()
 wait:
 	for {
 		f.mu.Lock()
-		rev, broken, next := f.visible(), f.broken, f.next(f.visible())
+		rev, broken, next := f.visibleRev(), f.failure, f.untilNextRev(f.visibleRev())
 		f.mu.Unlock()
 		if whole || rev > from || broken != "" {
 			break
@@ -260,7 +264,7 @@
 		f.list.mu.Lock()
 	}
 	f.mu.Lock()
-	rev, broken, hushed := f.visible(), f.broken, number <= f.hushed
+	rev, broken, hushed := f.visibleRev(), f.failure, number <= f.lastUnanswered
 	f.mu.Unlock()
 	history := f.list.history[:rev]
 	f.list.mu.Unlock()
@@ -271,7 +275,7 @@
 	switch broken {
 	case "":
 	case "garbage":
-		_, _ = w.Write([]byte(garbage[rand.IntN(len(garbage))]))
+		_, _ = w.Write([]byte(malformedAnswers[rand.IntN(len(malformedAnswers))]))
 		return
 	case "down":
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -280,31 +284,31 @@
 		_, _ = w.Write([]byte(broken))
 		return
 	}
-	f.answer(w, history, from, whole)
+	f.writeAnswer(w, history, from, whole)
 }
 
-func (f *Front) answer(w http.ResponseWriter, history []entry, from int64, whole bool) {
+func (f *DiscoveryServer) writeAnswer(w http.ResponseWriter, history []listEntry, from int64, whole bool) {
 	answer := struct {
-		Rev     int64   `json:"rev"`
-		All     bool    `json:"all"`
-		Targets []entry `json:"targets"`
-	}{int64(len(history)), whole, []entry{}}
-	latest := map[int]entry{}
+		Rev     int64       `json:"rev"`
+		All     bool        `json:"all"`
+		Targets []listEntry `json:"targets"`
+	}{int64(len(history)), whole, []listEntry{}}
+	latest := map[int]listEntry{}
 	var order []int
 	for _, e := range history {
-		if _, known := latest[e.server]; !known {
-			order = append(order, e.server)
+		if _, known := latest[e.serverNumber]; !known {
+			order = append(order, e.serverNumber)
 		}
-		latest[e.server] = e
+		latest[e.serverNumber] = e
 	}
 	for _, id := range order {
 		e := latest[id]
-		if whole && e.state == gone || !whole && e.rev <= from {
+		if whole && e.state == stateGone || !whole && e.rev <= from {
 			continue
 		}
-		e.Endpoint, e.State = e.endpoints[f.zone], stateWords[e.state]
+		e.Endpoint, e.State = e.endpoints[f.zone], stateNames[e.state]
 		f.mu.Lock()
-		e.Endpoint = cmp.Or(f.reached[e.Endpoint], e.Endpoint)
+		e.Endpoint = cmp.Or(f.endpointOverrides[e.Endpoint], e.Endpoint)
 		f.mu.Unlock()
 		answer.Targets = append(answer.Targets, e)
 	}
@@ -318,10 +322,10 @@
 	defer f.mu.Unlock()
 	for _, id := range order {
 		e := latest[id]
-		if !whole && e.rev <= from || f.told[id] >= e.rev {
+		if !whole && e.rev <= from || f.sentRevs[id] >= e.rev {
 			continue
 		}
-		f.told[id] = e.rev
-		f.list.book.Write(ledger.Event{Kind: ledger.Told, Proxy: f.proxy, Server: id, Product: ledger.None, Value: int64(e.state)})
+		f.sentRevs[id] = e.rev
+		f.list.eventLog.Record(ledger.Event{Kind: ledger.StateAnnounced, Proxy: f.proxy, Server: id, Product: ledger.None, Value: int64(e.state)})
 	}
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -13,58 +13,58 @@
 	"hatchproxy/lab/ledger"
 )
 
-// Kind is a kind of machine.
-type Kind struct {
-	Name   string
-	Share  float64 // of the servers, beside the other kinds' shares
-	Cores  int
-	Speed  float64 // of a core
-	Spread float64 // by which servers of a kind differ, as a share
+// MachineKind is a kind of machine.
+type MachineKind struct {
+	Name        string
+	Share       float64 // of the servers, beside the other kinds' shares
+	Cores       int
+	Speed       float64 // of a core
+	SpeedSpread float64 // by which servers of a kind differ, as a share
 }
 
-// Plan is what a fleet is made of.
-type Plan struct {
-	Servers    int
-	Zones      []string
-	Between    Micros // one way between two zones
-	Kinds      []Kind
-	CellSize   int
-	SetUp      Micros // work of a set-up, on average
-	Probe      Micros // work of a probe
-	Load       Micros // a connection's work in a second, on average
-	LoadSpread float64
-	LoadChange Micros  // how long a load stays, on average; 0 for ever
-	GroupCost  float64 // mean loads that each server pays for each group
-	ConnCap    int     // a core's
-	QueueCap   int     // a core's
-	Message    Micros  // what a message takes on an idle core of speed 1
-	Cold       Cold
-	Notice     Micros // how late discovery tells
-	Weights    string // "none", "nominal" or "rough"
-	TellsLoad  bool
-	Probes     bool
-	Sheds      bool // a draining server says MOVE to those that stand there
+// Config is what a fleet is made of.
+type Config struct {
+	ServerCount         int
+	Zones               []string
+	InterZoneDelay      Micros // one way between two zones
+	MachineKinds        []MachineKind
+	CellSize            int
+	SetUpWork           Micros // work of a set-up, on average
+	ProbeWork           Micros // work of a probe
+	ConnLoad            Micros // a connection's work in a second, on average
+	LoadSpread          float64
+	LoadChangeInterval  Micros  // how long a load stays, on average; 0 for ever
+	GroupCost           float64 // mean loads that each server pays for each group
+	MaxConnsPerCore     int     // a core's
+	MaxQueuePerCore     int     // a core's
+	MessageTime         Micros  // what a message takes on an idle core of speed 1
+	ColdStart           ColdStart
+	DiscoveryDelay      Micros // how late discovery tells
+	WeightMode          string // "none", "nominal" or "rough"
+	ReportsLoad         bool
+	AnswersProbes       bool
+	MovesClientsOnDrain bool // a draining server says MOVE to those that stand there
 }
 
 // Fleet is the servers and the list of them.
 type Fleet struct {
-	Plan    Plan
-	Servers []*Server
-	List    *List
-	book    *ledger.Book
-	fronts  []*Front
-	rng     *rand.Rand
-	stop    chan struct{}
-	ending  sync.WaitGroup
-	undo    map[string]func()
+	Config           Config
+	Servers          []*Server
+	List             *ServerList
+	eventLog         *ledger.EventLog
+	discoveryServers []*DiscoveryServer
+	rng              *rand.Rand
+	stop             chan struct{}
+	background       sync.WaitGroup
+	restoreAddresses map[string]func()
 }
 
 // Start builds a fleet; the same seed gives the same.
-func Start(book *ledger.Book, plan Plan, seed uint64) (*Fleet, error) {
-	f := &Fleet{Plan: plan, List: NewList(book), book: book, rng: rand.New(rand.NewPCG(seed, 0xf1ee7)),
-		stop: make(chan struct{}), undo: map[string]func(){}}
-	for i := range plan.Servers {
-		s, err := f.build(i)
+func Start(book *ledger.EventLog, plan Config, seed uint64) (*Fleet, error) {
+	f := &Fleet{Config: plan, List: NewServerList(book), eventLog: book, rng: rand.New(rand.NewPCG(seed, 0xf1ee7)),
+		stop: make(chan struct{}), restoreAddresses: map[string]func(){}}
+	for i := range plan.ServerCount {
+		s, err := f.newServer(i)
 		if err != nil {
 			f.Stop()
 			return nil, err
@@ -72,44 +72,44 @@
 		f.Servers = append(f.Servers, s)
 	}
 	for i := range f.Servers {
-		f.list(i, ready, true)
+		f.publish(i, stateReady, true)
 	}
-	f.ending.Add(1)
-	go f.tick()
+	f.background.Add(1)
+	go f.checkOverload()
 	return f, nil
 }
 
-// kindOf deals the kinds out by their shares, evenly over the numbers, so that small fleets have each.
-func (p Plan) kindOf(server int) Kind {
+// machineKind deals the kinds out by their shares, evenly over the numbers, so that small fleets have each.
+func (p Config) machineKind(server int) MachineKind {
 	total := 0.0
-	for _, k := range p.Kinds {
+	for _, k := range p.MachineKinds {
 		total += k.Share
 	}
 	x := math.Mod(float64(server)*0.6180339887498949+0.5, 1) * total
-	for _, k := range p.Kinds {
+	for _, k := range p.MachineKinds {
 		if x -= k.Share; x < 0 {
 			return k
 		}
 	}
-	return p.Kinds[len(p.Kinds)-1]
+	return p.MachineKinds[len(p.MachineKinds)-1]
 }
 
-func (f *Fleet) build(i int) (*Server, error) {
-	p, rng := f.Plan, rand.New(rand.NewPCG(f.rng.Uint64(), uint64(i)))
-	kind := p.kindOf(i)
-	m := NewMachine(kind.Cores, kind.Speed*(1+kind.Spread*(2*rng.Float64()-1)))
-	m.ConnCap, m.QueueCap = orMany(p.ConnCap*kind.Cores), orMany(p.QueueCap*kind.Cores)
-	m.GroupCost, m.Base, m.Cold = p.GroupCost*float64(p.Load), p.Message, p.Cold
+func (f *Fleet) newServer(i int) (*Server, error) {
+	p, rng := f.Config, rand.New(rand.NewPCG(f.rng.Uint64(), uint64(i)))
+	kind := p.machineKind(i)
+	m := NewMachine(kind.Cores, kind.Speed*(1+kind.SpeedSpread*(2*rng.Float64()-1)))
+	m.MaxConns, m.MaxQueuedSetUps = unlimitedIfZero(p.MaxConnsPerCore*kind.Cores), unlimitedIfZero(p.MaxQueuePerCore*kind.Cores)
+	m.GroupCost, m.BaseMessageTime, m.ColdStart = p.GroupCost*float64(p.ConnLoad), p.MessageTime, p.ColdStart
 	s := &Server{
-		Number: i, UID: fmt.Sprintf("s%03d", i), Zone: i % len(p.Zones), Kind: kind.Name, book: f.book,
-		tells: p.TellsLoad, probes: p.Probes, work: float64(p.SetUp), probing: float64(p.Probe), changes: p.LoadChange,
+		Number: i, UID: fmt.Sprintf("s%03d", i), Zone: i % len(p.Zones), Kind: kind.Name, eventLog: f.eventLog,
+		reportsLoad: p.ReportsLoad, answersProbes: p.AnswersProbes, setUpWork: float64(p.SetUpWork), probeWork: float64(p.ProbeWork), loadChangeInterval: p.LoadChangeInterval,
 		machine: m, rng: rng, conns: map[*conn]bool{},
 		// Lognormal about the mean.
-		loads: func(rng *rand.Rand) float64 {
-			return float64(p.Load) * math.Exp(p.LoadSpread*rng.NormFloat64()-p.LoadSpread*p.LoadSpread/2)
+		drawLoad: func(rng *rand.Rand) float64 {
+			return float64(p.ConnLoad) * math.Exp(p.LoadSpread*rng.NormFloat64()-p.LoadSpread*p.LoadSpread/2)
 		},
 	}
-	switch size := float64(m.Cores) * m.Speed; p.Weights {
+	switch size := float64(m.Cores) * m.Speed; p.WeightMode {
 	case "nominal":
 		s.weight = size
 	case "rough":
@@ -120,73 +120,75 @@
 	for zone := range p.Zones {
 		way := Micros(0)
 		if zone != s.Zone {
-			way = p.Between
+			way = p.InterZoneDelay
 		}
-		s.way = append(s.way, way)
+		s.zoneDelays = append(s.zoneDelays, way)
 	}
-	return s, s.open()
+	return s, s.listen()
 }
 
-func orMany(n int) int {
+func unlimitedIfZero(n int) int {
 	if n <= 0 {
 		return math.MaxInt32
 	}
 	return n
 }
 
-// tell puts a server's state on the list. The server's lock is held, or nobody else is there yet.
-func (f *Fleet) tell(i int, st state) { f.list(i, st, false) }
+// publishState puts a server's state on the list. The server's lock is held, or nobody else is there yet.
+func (f *Fleet) publishState(i int, st serverState) { f.publish(i, st, false) }
 
-func (f *Fleet) list(i int, st state, old bool) {
+func (f *Fleet) publish(i int, st serverState, old bool) {
 	s := f.Servers[i]
 	boot := int64(0)
-	if s.machine.boot >= 0 {
-		boot = f.book.Time(s.machine.boot).UnixMilli()
+	if s.machine.startedAt >= 0 {
+		boot = f.eventLog.WallTime(s.machine.startedAt).UnixMilli()
 	}
-	f.List.set(entry{UID: s.UID, AZ: f.Plan.Zones[s.Zone], Model: s.Kind, PodGroup: f.Cell(i), Weight: s.weight, BootMS: boot,
-		server: i, state: st, endpoints: s.addresses, old: old})
+	f.List.set(listEntry{UID: s.UID, AZ: f.Config.Zones[s.Zone], Model: s.Kind, PodGroup: f.Cell(i), Weight: s.weight, BootMS: boot,
+		serverNumber: i, state: st, endpoints: s.addresses, listedBeforeRun: old})
 }
 
 // Cell is the group of servers that drops a stamped product's repeats.
 func (f *Fleet) Cell(i int) int {
-	if f.Plan.CellSize <= 0 {
+	if f.Config.CellSize <= 0 {
 		return 0
 	}
-	return i / f.Plan.CellSize
+	return i / f.Config.CellSize
 }
 
-// Places are where the servers stand, for the judge.
-func (f *Fleet) Places() []ledger.Place {
-	places := make([]ledger.Place, len(f.Servers))
+// Positions are where the servers stand, for the judge.
+func (f *Fleet) Positions() []ledger.ServerLocation {
+	places := make([]ledger.ServerLocation, len(f.Servers))
 	for i, s := range f.Servers {
-		places[i] = ledger.Place{Zone: s.Zone, Cell: f.Cell(i)}
+		places[i] = ledger.ServerLocation{Zone: s.Zone, Cell: f.Cell(i)}
 	}
 	return places
 }
 
-// Front opens a discovery for a proxy of a zone.
-func (f *Fleet) Front(proxy, zone int) (*Front, error) {
-	return f.keep(f.List.Open(proxy, zone))
+// StartDiscovery opens a discovery for a proxy of a zone.
+func (f *Fleet) StartDiscovery(proxy, zone int) (*DiscoveryServer, error) {
+	return f.addDiscovery(f.List.StartDiscovery(proxy, zone))
 }
 
-// FrontAt opens one at an address, for the first zone.
-func (f *Fleet) FrontAt(address string) (*Front, error) { return f.keep(f.List.openAt(address, 0, 0)) }
+// StartDiscoveryAt opens one at an address, for the first zone.
+func (f *Fleet) StartDiscoveryAt(address string) (*DiscoveryServer, error) {
+	return f.addDiscovery(f.List.startDiscoveryAt(address, 0, 0))
+}
 
-func (f *Fleet) keep(front *Front, err error) (*Front, error) {
+func (f *Fleet) addDiscovery(front *DiscoveryServer, err error) (*DiscoveryServer, error) {
 	if err != nil {
 		return nil, err
 	}
-	front.lag = f.Plan.Notice
-	f.fronts = append(f.fronts, front)
+	front.delay = f.Config.DiscoveryDelay
+	f.discoveryServers = append(f.discoveryServers, front)
 	return front, nil
 }
 
-// ticking is how often servers are looked at: a thirtieth of the shortest window in use.
-const ticking = 100 * time.Millisecond
+// overloadCheckInterval is how often servers are looked at: a thirtieth of the shortest window in use.
+const overloadCheckInterval = 100 * time.Millisecond
 
-func (f *Fleet) tick() {
-	defer f.ending.Done()
-	t := time.NewTicker(ticking)
+func (f *Fleet) checkOverload() {
+	defer f.background.Done()
+	t := time.NewTicker(overloadCheckInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -196,28 +198,28 @@
 		}
 		for i, s := range f.Servers {
 			s.mu.Lock()
-			times, tips := s.machine.Tick(f.book.Now())
+			times, tips := s.machine.CheckOverload(f.eventLog.Now())
 			if tips && !s.down {
-				s.tipped = true
-				f.book.Write(ledger.Event{Kind: ledger.TippedOver, Server: i, Proxy: ledger.None, Product: ledger.None,
-					Note: fmt.Sprintf("%.1f times what it could do, for %s; %d stood there", times, f.Plan.Cold.Window, s.machine.standing)})
-				f.fall(s)
-				f.tell(i, gone)
+				s.collapsed = true
+				f.eventLog.Record(ledger.Event{Kind: ledger.ColdServerOverloaded, Server: i, Proxy: ledger.None, Product: ledger.None,
+					Note: fmt.Sprintf("%.1f times what it could do, for %s; %d stood there", times, f.Config.ColdStart.OverloadWindow, s.machine.established)})
+				f.crash(s)
+				f.publishState(i, stateGone)
 			}
 			s.mu.Unlock()
 		}
 	}
 }
 
-// fall takes a server down at once. Its lock is held.
-func (f *Fleet) fall(s *Server) {
+// crash takes a server down at once. Its lock is held.
+func (f *Fleet) crash(s *Server) {
 	s.down = true
-	s.shutListeners()
+	s.closeListeners()
 	for c := range s.conns {
 		c.end(true)
 	}
-	s.machine.Restart(f.book.Now())
-	s.machine.boot = -1
+	s.machine.Restart(f.eventLog.Now())
+	s.machine.startedAt = -1
 }
 
 // Stop ends all servers and fronts.
@@ -228,42 +230,42 @@
 	default:
 	}
 	close(f.stop)
-	f.ending.Wait()
-	for _, undo := range f.undo {
+	f.background.Wait()
+	for _, undo := range f.restoreAddresses {
 		undo()
 	}
 	for _, s := range f.Servers {
 		s.mu.Lock()
 		s.down = true
-		s.shutListeners()
+		s.closeListeners()
 		for c := range s.conns {
 			c.release()
 			_ = c.Close()
 		}
 		s.mu.Unlock()
 	}
-	for _, front := range f.fronts {
+	for _, front := range f.discoveryServers {
 		front.Close()
 	}
 }
 
-// Standing is how many connections stand at each server now.
-func (f *Fleet) Standing() []int {
+// EstablishedCounts is how many connections stand at each server now.
+func (f *Fleet) EstablishedCounts() []int {
 	n := make([]int, len(f.Servers))
 	for i, s := range f.Servers {
 		s.mu.Lock()
-		n[i] = s.machine.standing
+		n[i] = s.machine.established
 		s.mu.Unlock()
 	}
 	return n
 }
 
-// Tipped counts the servers that have tipped over.
-func (f *Fleet) Tipped() int {
+// CollapsedCount counts the servers that have tipped over.
+func (f *Fleet) CollapsedCount() int {
 	n := 0
 	for _, s := range f.Servers {
 		s.mu.Lock()
-		if s.tipped {
+		if s.collapsed {
 			n++
 		}
 		s.mu.Unlock()
@@ -276,7 +278,7 @@
 	for range 64 {
 		s := f.Servers[rng.IntN(len(f.Servers))]
 		s.mu.Lock()
-		ok := !s.down && !s.sitting
+		ok := !s.down && !s.draining
 		s.mu.Unlock()
 		if ok {
 			return s.addresses[zone]
@@ -288,8 +290,8 @@
 // full is the use up to which a policy that sees all fills a server; relieved is where it stops taking off one that is
 // fuller. Both are short of the knee, beyond which messages are late.
 const (
-	full     = 0.85
-	relieved = 0.75
+	fullUtilization       = 0.85
+	rebalancedUtilization = 0.75
 )
 
 // BestAddress is where a policy that sees the true state of all servers sends a connection: where the added work,
@@ -297,22 +299,22 @@
 func (f *Fleet) BestAddress(zone int, group uint64) (string, bool) {
 	var best *Server
 	least := math.Inf(1)
-	now := f.book.Now()
+	now := f.eventLog.Now()
 	for _, s := range f.Servers {
 		s.mu.Lock()
 		m := s.machine
-		added := float64(f.Plan.Load)
-		if group != 0 && m.groups[group] == 0 {
+		added := float64(f.Config.ConnLoad)
+		if group != 0 && m.groupSizes[group] == 0 {
 			added += m.GroupCost
 		}
-		use := (m.load + float64(len(m.queue))*float64(f.Plan.Load) + m.GroupCost*float64(len(m.groups)) + added) / m.Capacity(now)
-		if len(m.queue) > 0 {
-			use += float64(max(0, m.queue[len(m.queue)-1]-now)) / float64(ledger.Second)
+		use := (m.load + float64(len(m.setUpEnds))*float64(f.Config.ConnLoad) + m.GroupCost*float64(len(m.groupSizes)) + added) / m.Capacity(now)
+		if len(m.setUpEnds) > 0 {
+			use += float64(max(0, m.setUpEnds[len(m.setUpEnds)-1]-now)) / float64(ledger.Second)
 		}
-		if s.way[zone] > 0 {
+		if s.zoneDelays[zone] > 0 {
 			use += 0.02
 		}
-		fit := !s.down && !s.sitting && s.fault == (fault{}) && m.standing+len(m.queue) < m.ConnCap && use < full
+		fit := !s.down && !s.draining && s.faults == (serverFaults{}) && m.established+len(m.setUpEnds) < m.MaxConns && use < fullUtilization
 		s.mu.Unlock()
 		if weight := use * added; fit && weight < least {
 			best, least = s, weight
@@ -324,24 +326,24 @@
 	return best.addresses[zone], true
 }
 
-// Relieve moves the heaviest connections off servers that are too full, as a policy that sees all would.
-func (f *Fleet) Relieve() {
-	now := f.book.Now()
+// Rebalance moves the heaviest connections off servers that are too full, as a policy that sees all would.
+func (f *Fleet) Rebalance() {
+	now := f.eventLog.Now()
 	for _, s := range f.Servers {
 		s.mu.Lock()
-		if s.machine.Use(now) > full || s.sitting || s.fault.mute {
+		if s.machine.Utilization(now) > fullUtilization || s.draining || s.faults.mute {
 			var standing []*conn
 			for c := range s.conns {
-				if c.stands {
+				if c.established {
 					standing = append(standing, c)
 				}
 			}
 			slices.SortFunc(standing, func(a, b *conn) int { return cmp.Or(cmp.Compare(b.load, a.load), cmp.Compare(a.id, b.id)) })
 			for _, c := range standing {
-				if s.machine.Use(now) < relieved && !s.sitting && !s.fault.mute {
+				if s.machine.Utilization(now) < rebalancedUtilization && !s.draining && !s.faults.mute {
 					break
 				}
-				c.sendAway()
+				c.moveClient()
 			}
 		}
 		s.mu.Unlock()
@@ -360,10 +362,10 @@
 // FirstAddress is always the same server.
 func (f *Fleet) FirstAddress(zone int) string { return f.Servers[0].addresses[zone] }
 
-var errKind = errors.New("there is no such trouble")
+var errUnknownTrouble = errors.New("there is no such trouble")
 
-// choose draws n different servers.
-func choose(rng *rand.Rand, servers, n int) []int {
+// drawNumbers draws n different servers.
+func drawNumbers(rng *rand.Rand, servers, n int) []int {
 	chosen := rng.Perm(servers)[:min(n, servers)]
 	slices.Sort(chosen)
 	return chosen
--- a/lab/fleet/machine_test.go
+++ b/lab/fleet/machine_test.go
@@ -15,52 +15,52 @@
 
 func TestSetUpsWaitForACoreAndAFullQueueTurnsThemAway(t *testing.T) {
 	m := NewMachine(2, 2)
-	m.QueueCap = 3
+	m.MaxQueuedSetUps = 3
 	var ends []Micros
 	for range 3 {
-		end, room := m.SetUp(1000, 10_000)
+		end, room := m.QueueSetUp(1000, 10_000)
 		require.True(t, room)
 		ends = append(ends, end)
 	}
 	require.Equal(t, []Micros{6000, 6000, 11000}, ends, "5 ms each on two cores of speed 2")
-	_, room := m.SetUp(1000, 10_000)
+	_, room := m.QueueSetUp(1000, 10_000)
 	require.False(t, room)
-	_, room = m.SetUp(6001, 10_000)
+	_, room = m.QueueSetUp(6001, 10_000)
 	require.True(t, room, "two are done")
 }
 
 func TestStandingConnectionsTakeCapacityAndLateMessagesBeginAtTheKnee(t *testing.T) {
 	m := NewMachine(1, 1)
-	idle := m.Message(0)
-	m.Stand(500_000, 1)
-	require.InDelta(t, 0.5, m.Use(0), 1e-9)
-	require.Equal(t, 2*idle, m.Message(0), "on one core a queue's mean at half use is twice the work")
-	m.Stand(700_000, 1)
-	require.Greater(t, m.Message(0), 500*ms)
-	m.Change(700_000, 0)
-	require.Equal(t, 2*idle, m.Message(0))
+	idle := m.MessageTime(0)
+	m.AddConn(500_000, 1)
+	require.InDelta(t, 0.5, m.Utilization(0), 1e-9)
+	require.Equal(t, 2*idle, m.MessageTime(0), "on one core a queue's mean at half use is twice the work")
+	m.AddConn(700_000, 1)
+	require.Greater(t, m.MessageTime(0), 500*ms)
+	m.ChangeLoad(700_000, 0)
+	require.Equal(t, 2*idle, m.MessageTime(0))
 	wide := NewMachine(8, 1)
-	wide.Stand(4_000_000, 0)
-	require.Less(t, wide.Message(0), idle*11/10, "on many cores hardly anything waits")
+	wide.AddConn(4_000_000, 0)
+	require.Less(t, wide.MessageTime(0), idle*11/10, "on many cores hardly anything waits")
 	m.GroupCost = 100_000
-	require.InDelta(t, 0.6, m.Use(0), 1e-9, "a group is paid for once")
-	m.Leave(0, 1)
-	m.Leave(500_000, 1)
-	require.Zero(t, m.Use(0))
-	require.Empty(t, m.groups)
+	require.InDelta(t, 0.6, m.Utilization(0), 1e-9, "a group is paid for once")
+	m.RemoveConn(0, 1)
+	m.RemoveConn(500_000, 1)
+	require.Zero(t, m.Utilization(0))
+	require.Empty(t, m.groupSizes)
 }
 
 func TestOnlyAColdMachineTipsAndOnlyAfterTheWholeWindow(t *testing.T) {
-	cold := Cold{From: 0.1, Warm: 100 * second, Multiple: 4, Window: 2 * second}
+	cold := ColdStart{InitialShare: 0.1, WarmUpTime: 100 * second, OverloadMultiple: 4, OverloadWindow: 2 * second}
 	play := func(restart bool, rate Micros, until Micros) (tipped Micros) {
 		m := NewMachine(1, 1)
-		m.Cold = cold
+		m.ColdStart = cold
 		if restart {
 			m.Restart(1)
 		}
 		for now := Micros(1); now < until; now += rate {
-			m.SetUp(now, 10_000)
-			if _, tips := m.Tick(now); tips {
+			m.QueueSetUp(now, 10_000)
+			if _, tips := m.CheckOverload(now); tips {
 				return now
 			}
 		}
@@ -76,26 +76,26 @@
 }
 
 func TestAScriptIsDrawnTheSameFromTheSameSeed(t *testing.T) {
-	script := []Trouble{{Kind: "slow", At: 5 * second, Part: 0.25, Size: 8}, {Kind: "proxy-kill", At: second, Part: 1}, {Kind: "store", At: 2 * second}}
-	a, err := Draw(script, of(40, 3), 7)
+	script := []Trouble{{Kind: "slow", At: 5 * second, Share: 0.25, Size: 8}, {Kind: "proxy-kill", At: second, Share: 1}, {Kind: "store", At: 2 * second}}
+	a, err := Schedule(script, targetCounts(40, 3), 7)
 	require.NoError(t, err)
-	b, _ := Draw(script, of(40, 3), 7)
+	b, _ := Schedule(script, targetCounts(40, 3), 7)
 	require.Equal(t, a, b)
 	require.Equal(t, "proxy-kill", a[0].Kind, "in the order of time")
-	require.Equal(t, []int{0, 1, 2}, a[0].Servers)
-	require.Len(t, a[2].Servers, 10)
-	c, _ := Draw(script, of(40, 3), 8)
-	require.NotEqual(t, a[2].Servers, c[2].Servers)
-	_, err = Draw([]Trouble{{Kind: "odd"}}, of(4, 1), 1)
-	require.ErrorIs(t, err, errKind)
-	_, err = Draw([]Trouble{{Kind: "slow", Servers: []int{4}}}, of(4, 1), 1)
+	require.Equal(t, []int{0, 1, 2}, a[0].Targets)
+	require.Len(t, a[2].Targets, 10)
+	c, _ := Schedule(script, targetCounts(40, 3), 8)
+	require.NotEqual(t, a[2].Targets, c[2].Targets)
+	_, err = Schedule([]Trouble{{Kind: "odd"}}, targetCounts(4, 1), 1)
+	require.ErrorIs(t, err, errUnknownTrouble)
+	_, err = Schedule([]Trouble{{Kind: "slow", Targets: []int{4}}}, targetCounts(4, 1), 1)
 	require.Error(t, err)
 }
 
-// of is so many servers, and so many proxies.
-func of(servers, proxies int) func(string) int {
+// targetCounts is so many servers, and so many proxies.
+func targetCounts(servers, proxies int) func(string) int {
 	return func(kind string) int {
-		if OfProxies(kind) {
+		if IsProxyTrouble(kind) {
 			return proxies
 		}
 		return servers
--- a/lab/fleet/trouble.go
+++ b/lab/fleet/trouble.go
@@ -13,22 +13,22 @@
 
 // Trouble is a line of a script.
 type Trouble struct {
-	Kind    string
-	At, For Micros
-	Part    float64 // the share of the servers (or proxies); 0 where Servers names them
-	Servers []int
-	Size    float64 // how many times slower, what share of answers, how many seconds: as the kind has it
+	Kind         string
+	At, Duration Micros
+	Share        float64 // the share of the servers (or proxies); 0 where Servers names them
+	Targets      []int
+	Size         float64 // how many times slower, what share of answers, how many seconds: as the kind has it
 }
 
-// Step is a trouble whose servers have been drawn.
-type Step struct {
+// ScheduledTrouble is a trouble whose servers have been drawn.
+type ScheduledTrouble struct {
 	Trouble
-	Order int // in the script
+	ScriptIndex int // in the script
 }
 
-// Kinds are the troubles that there are, each with what its size means. Those of a list concern discovery, those of
+// TroubleKinds are the troubles that there are, each with what its size means. Those of a list concern discovery, those of
 // a proxy are done by who runs the proxies.
-var Kinds = map[string]string{
+var TroubleKinds = map[string]string{
 	"slow":    "the servers are SIZE times slower",
 	"hang":    "the servers take lines and never say UP",
 	"mute":    "the servers fall silent halfway through a line",
@@ -94,69 +94,69 @@
 	"fault-no-servers": "machines are cut off from all servers, and not from each other",
 }
 
-// OfProxies tells whether a kind is for who runs the proxies, and its numbers are theirs.
-func OfProxies(kind string) bool {
+// IsProxyTrouble tells whether a kind is for who runs the proxies, and its numbers are theirs.
+func IsProxyTrouble(kind string) bool {
 	return strings.HasPrefix(kind, "proxy-") || strings.HasPrefix(kind, "calls-") || strings.HasPrefix(kind, "way-") || kind == "list-moved"
 }
 
-// OfAgents tells whether a kind is for who speaks with the agents.
-func OfAgents(kind string) bool {
+// IsAgentTrouble tells whether a kind is for who speaks with the agents.
+func IsAgentTrouble(kind string) bool {
 	return kind == "order-drain" || kind == "rolling-restart" || kind == "roll" || strings.HasPrefix(kind, "fault-")
 }
 
-// OfAll tells whether a kind is for all there are, and names none.
-func OfAll(kind string) bool {
+// AffectsAll tells whether a kind is for all there are, and names none.
+func AffectsAll(kind string) bool {
 	return kind == "store" || kind == "rolling-restart" || kind == "roll" || kind == "fault-slow" || kind == "fault-ring" || kind == "fault-crash-all"
 }
 
-// Draw draws the servers of a script, of as many as counts tells for its kind: the same seed gives the same steps, in the order of
+// Schedule draws the servers of a script, of as many as counts tells for its kind: the same seed gives the same steps, in the order of
 // time.
-func Draw(script []Trouble, counts func(kind string) int, seed uint64) ([]Step, error) {
+func Schedule(script []Trouble, counts func(kind string) int, seed uint64) ([]ScheduledTrouble, error) {
 	rng := rand.New(rand.NewPCG(seed, 0x7120b1e))
-	steps := make([]Step, 0, len(script))
+	steps := make([]ScheduledTrouble, 0, len(script))
 	for i, t := range script {
-		if _, known := Kinds[t.Kind]; !known {
-			return nil, fmt.Errorf("trouble %d: %w: %q", i+1, errKind, t.Kind)
+		if _, known := TroubleKinds[t.Kind]; !known {
+			return nil, fmt.Errorf("trouble %d: %w: %q", i+1, errUnknownTrouble, t.Kind)
 		}
 		of := counts(t.Kind)
 		switch {
-		case strings.HasPrefix(t.Kind, "fault-") && OfAll(t.Kind):
-			t.Servers = []int{0} // once, for all
-		case t.Servers == nil && !OfAll(t.Kind):
-			t.Servers = choose(rng, of, int(math.Ceil(t.Part*float64(of)-1e-9)))
+		case strings.HasPrefix(t.Kind, "fault-") && AffectsAll(t.Kind):
+			t.Targets = []int{0} // once, for all
+		case t.Targets == nil && !AffectsAll(t.Kind):
+			t.Targets = drawNumbers(rng, of, int(math.Ceil(t.Share*float64(of)-1e-9)))
 		}
-		for _, n := range t.Servers {
+		for _, n := range t.Targets {
 			if n < 0 || n >= of {
 				return nil, fmt.Errorf("trouble %d: there is no number %d of %d", i+1, n, of)
 			}
 		}
-		steps = append(steps, Step{t, i})
+		steps = append(steps, ScheduledTrouble{t, i})
 	}
-	slices.SortStableFunc(steps, func(a, b Step) int { return int(a.At - b.At) })
+	slices.SortStableFunc(steps, func(a, b ScheduledTrouble) int { return int(a.At - b.At) })
 	return steps, nil
 }
 
-func (s Step) String() string {
-	return fmt.Sprintf("%s (size %g) on %v for %s", s.Kind, s.Size, s.Servers, s.For)
+func (s ScheduledTrouble) String() string {
+	return fmt.Sprintf("%s (size %g) on %v for %s", s.Kind, s.Size, s.Targets, s.Duration)
 }
 
-// Begin lets a trouble begin.
-func (f *Fleet) Begin(t Step) error {
-	f.mark(t, "begins")
+// BeginTrouble lets a trouble begin.
+func (f *Fleet) BeginTrouble(t ScheduledTrouble) error {
+	f.recordTrouble(t, "begins")
 	switch t.Kind {
 	case "store":
-		f.slowStore(Micros(t.Size * float64(ledger.Millisecond)))
+		f.setStoreDelay(Micros(t.Size * float64(ledger.Millisecond)))
 	case "list-late":
-		f.fronted(func(front *Front) { front.Late(f.Plan.Notice + Micros(t.Size*1e6)) })
+		f.eachDiscovery(func(front *DiscoveryServer) { front.SetDelay(f.Config.DiscoveryDelay + Micros(t.Size*1e6)) })
 	case "list-frozen":
-		f.fronted(func(front *Front) { front.Freeze(true) })
+		f.eachDiscovery(func(front *DiscoveryServer) { front.SetFrozen(true) })
 	case "list-down":
-		f.fronted(func(front *Front) { front.Break("down") })
+		f.eachDiscovery(func(front *DiscoveryServer) { front.SetFailure("down") })
 	case "list-garbage":
-		f.fronted(func(front *Front) { front.Break("garbage") })
+		f.eachDiscovery(func(front *DiscoveryServer) { front.SetFailure("garbage") })
 	default:
-		for _, i := range t.Servers {
-			if err := f.afflict(i, t); err != nil {
+		for _, i := range t.Targets {
+			if err := f.beginServerTrouble(i, t); err != nil {
 				return err
 			}
 		}
@@ -164,21 +164,21 @@
 	return nil
 }
 
-// End ends it.
-func (f *Fleet) End(t Step) error {
-	f.mark(t, "ends")
+// EndTrouble ends it.
+func (f *Fleet) EndTrouble(t ScheduledTrouble) error {
+	f.recordTrouble(t, "ends")
 	switch t.Kind {
 	case "store":
-		f.slowStore(0)
+		f.setStoreDelay(0)
 	case "list-late":
-		f.fronted(func(front *Front) { front.Late(f.Plan.Notice) })
+		f.eachDiscovery(func(front *DiscoveryServer) { front.SetDelay(f.Config.DiscoveryDelay) })
 	case "list-frozen":
-		f.fronted(func(front *Front) { front.Freeze(false) })
+		f.eachDiscovery(func(front *DiscoveryServer) { front.SetFrozen(false) })
 	case "list-down", "list-garbage":
-		f.fronted(func(front *Front) { front.Break("") })
+		f.eachDiscovery(func(front *DiscoveryServer) { front.SetFailure("") })
 	default:
-		for _, i := range t.Servers {
-			if err := f.relieve(i, t); err != nil {
+		for _, i := range t.Targets {
+			if err := f.endServerTrouble(i, t); err != nil {
 				return err
 			}
 		}
@@ -186,25 +186,25 @@
 	return nil
 }
 
-func (f *Fleet) mark(t Step, what string) {
-	f.book.Write(ledger.Event{Kind: ledger.Trouble, Server: ledger.None, Proxy: ledger.None, Product: ledger.None, Note: t.String() + " " + what})
+func (f *Fleet) recordTrouble(t ScheduledTrouble, what string) {
+	f.eventLog.Record(ledger.Event{Kind: ledger.Trouble, Server: ledger.None, Proxy: ledger.None, Product: ledger.None, Note: t.String() + " " + what})
 }
 
-func (f *Fleet) fronted(how func(*Front)) {
-	for _, front := range f.fronts {
+func (f *Fleet) eachDiscovery(how func(*DiscoveryServer)) {
+	for _, front := range f.discoveryServers {
 		how(front)
 	}
 }
 
-func (f *Fleet) slowStore(by Micros) {
+func (f *Fleet) setStoreDelay(by Micros) {
 	for _, s := range f.Servers {
 		s.mu.Lock()
-		s.machine.store = by
+		s.machine.storeDelay = by
 		s.mu.Unlock()
 	}
 }
 
-func (f *Fleet) afflict(i int, t Step) error {
+func (f *Fleet) beginServerTrouble(i int, t ScheduledTrouble) error {
 	s := f.Servers[i]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,68 +213,68 @@
 	}
 	switch t.Kind {
 	case "slow":
-		s.machine.slow = max(1, t.Size)
+		s.machine.slowdown = max(1, t.Size)
 	case "hang":
-		s.fault.hang = true
+		s.faults.hang = true
 	case "mute":
-		s.fault.mute = true
+		s.faults.mute = true
 	case "errors":
-		s.fault.fails = t.Size
+		s.faults.errorShare = t.Size
 	case "resets":
-		s.fault.resets = t.Size
+		s.faults.resetShare = t.Size
 	case "refuse":
-		s.shutListeners()
+		s.closeListeners()
 	case "vanish":
 		return f.vanish(s)
 	case "drop":
 		for c := range s.conns {
-			if c.stands && s.rng.Float64() < t.Size {
+			if c.established && s.rng.Float64() < t.Size {
 				c.end(true)
 			}
 		}
 	case "restart":
-		f.fall(s)
-		f.tell(i, gone)
+		f.crash(s)
+		f.publishState(i, stateGone)
 	case "drain":
-		s.sitting = true
-		f.tell(i, draining)
-		if f.Plan.Sheds {
-			f.shed(s, t.For)
+		s.draining = true
+		f.publishState(i, stateDraining)
+		if f.Config.MovesClientsOnDrain {
+			f.moveClients(s, t.Duration)
 		}
 	}
 	return nil
 }
 
-// shed has a draining server send its clients away bit by bit over a time. Its lock is held.
-func (f *Fleet) shed(s *Server, over Micros) {
+// moveClients has a draining server send its clients away bit by bit over a time. Its lock is held.
+func (f *Fleet) moveClients(s *Server, over Micros) {
 	for c := range s.conns {
-		if !c.stands {
+		if !c.established {
 			continue
 		}
-		c.later(Micros(s.rng.Float64()*0.8*float64(over)), func() {
-			c.sendAway()
+		c.afterDelay(Micros(s.rng.Float64()*0.8*float64(over)), func() {
+			c.moveClient()
 		})
 	}
 }
 
 func (f *Fleet) vanish(s *Server) error {
-	s.fault.gone = true
-	s.shutListeners()
+	s.faults.vanished = true
+	s.closeListeners()
 	for c := range s.conns {
-		if c.stands && !c.silent {
+		if c.established && !c.silent {
 			c.silent = true
-			c.note(ledger.FellSilent, 0, "its machine has vanished")
+			c.record(ledger.ServerSilent, 0, "its machine has vanished")
 		}
 	}
 	var undo []func()
 	for _, at := range s.addresses {
-		back, err := vanish(at)
+		back, err := blackholeAddress(at)
 		if err != nil {
 			return err
 		}
 		undo = append(undo, back)
 	}
-	f.undo[s.UID] = func() {
+	f.restoreAddresses[s.UID] = func() {
 		for _, back := range undo {
 			back()
 		}
@@ -282,59 +282,59 @@
 	return nil
 }
 
-func (f *Fleet) relieve(i int, t Step) error {
+func (f *Fleet) endServerTrouble(i int, t ScheduledTrouble) error {
 	s := f.Servers[i]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.tipped {
+	if s.collapsed {
 		return nil // it stays down
 	}
 	switch t.Kind {
 	case "slow":
-		s.machine.slow = 1
+		s.machine.slowdown = 1
 	case "hang":
-		s.fault.hang = false
+		s.faults.hang = false
 	case "mute":
-		s.fault.mute = false
+		s.faults.mute = false
 		for c := range s.conns {
 			if c.silent { // the rest of its line is lost; who still stands here is cut
 				c.end(true)
 			}
 		}
 	case "errors":
-		s.fault.fails = 0
+		s.faults.errorShare = 0
 	case "resets":
-		s.fault.resets = 0
+		s.faults.resetShare = 0
 	case "refuse":
 		if s.down {
 			return nil // another trouble has stopped it
 		}
-		return s.reopen()
+		return s.listenAgain()
 	case "vanish":
-		s.fault.gone = false
-		f.undo[s.UID]()
-		delete(f.undo, s.UID)
+		s.faults.vanished = false
+		f.restoreAddresses[s.UID]()
+		delete(f.restoreAddresses, s.UID)
 		for c := range s.conns {
 			c.end(true)
 		}
-		return s.reopen()
+		return s.listenAgain()
 	case "restart":
-		return f.start(i)
+		return f.startCold(i)
 	case "drain":
 		s.down = true
-		s.shutListeners()
+		s.closeListeners()
 		for c := range s.conns {
 			c.end(false)
 		}
-		f.tell(i, gone)
+		f.publishState(i, stateGone)
 		if t.Size > 0 {
-			time.AfterFunc(Micros(t.Size*1e6).Span(), func() {
+			time.AfterFunc(Micros(t.Size*1e6).Duration(), func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				select {
 				case <-f.stop:
 				default:
-					_ = f.start(i) // an address that is gone leaves the server gone: the list says so
+					_ = f.startCold(i) // an address that is gone leaves the server gone: the list says so
 				}
 			})
 		}
@@ -342,14 +342,14 @@
 	return nil
 }
 
-// start brings a server back, cold. Its lock is held.
-func (f *Fleet) start(i int) error {
+// startCold brings a server back, cold. Its lock is held.
+func (f *Fleet) startCold(i int) error {
 	s := f.Servers[i]
-	if err := s.reopen(); err != nil {
+	if err := s.listenAgain(); err != nil {
 		return err
 	}
-	s.down, s.sitting = false, false
-	s.machine.Restart(f.book.Now())
-	f.tell(i, ready)
+	s.down, s.draining = false, false
+	s.machine.Restart(f.eventLog.Now())
+	f.publishState(i, stateReady)
 	return nil
 }
--- a/lab/ledger/ledger.go
+++ b/lab/ledger/ledger.go
@@ -18,97 +18,97 @@
 	Second      Micros = 1000 * Millisecond
 )
 
-// Of turns a span of the standard library into one of the ledger.
-func Of(d time.Duration) Micros { return Micros(d.Microseconds()) }
+// FromDuration turns a span of the standard library into one of the ledger.
+func FromDuration(d time.Duration) Micros { return Micros(d.Microseconds()) }
 
-// Span is the other way round.
-func (m Micros) Span() time.Duration { return time.Duration(m) * time.Microsecond }
+// Duration is the other way round.
+func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
 func (m Micros) String() string { return fmt.Sprintf("%d.%06d s", m/Second, m%Second) }
 
 // Clock is the one clock of a run.
-type Clock struct{ begin time.Time }
+type Clock struct{ start time.Time }
 
-// Start makes a clock that begins now.
-func Start() Clock { return Clock{time.Now()} }
+// StartClock makes a clock that begins now.
+func StartClock() Clock { return Clock{time.Now()} }
 
 // Now is the time since the run's start.
-func (c Clock) Now() Micros { return Micros(time.Since(c.begin).Microseconds()) }
+func (c Clock) Now() Micros { return Micros(time.Since(c.start).Microseconds()) }
 
-// Time is the wall's time of a time of the run.
-func (c Clock) Time(at Micros) time.Time { return c.begin.Add(at.Span()) }
+// WallTime is the wall's time of a time of the run.
+func (c Clock) WallTime(at Micros) time.Time { return c.start.Add(at.Duration()) }
 
 // Kind says what was seen.
 type Kind uint8
 
 const (
 	// Asked: a client's line has gone out whole. Value is its limit, as a time of the run.
-	Asked Kind = iota
-	HeardUp
-	HeardBusy
-	HeardFailed
-	HeardNothing // the connection ended without a final answer
-	HeardMore    // something came after the final answer
-	HeardMove
-	Ended // the client's standing connection was ended by the other side
-	Left  // the client closed by itself
+	RequestSent Kind = iota
+	ClientReceivedUp
+	ClientReceivedBusy
+	ClientReceivedFailure
+	ClientUnanswered    // the connection ended without a final answer
+	ClientReceivedExtra // something came after the final answer
+	ClientReceivedMove
+	ClientDisconnected // the client's standing connection was ended by the other side
+	ClientLeft         // the client closed by itself
 
 	// Arrived: the first byte of a dispatch came to a server; Taken: its line was whole.
-	Arrived
-	Taken
-	Ran // the server gave it its effect
-	SaidUp
-	SaidBusy
-	SaidErr
-	SaidMove
-	ServerEnded // by a close, or a reset
+	DispatchArrived
+	DispatchComplete
+	DispatchRan // the server gave it its effect
+	ServerSentUp
+	ServerSentBusy
+	ServerSentErr
+	ServerSentMove
+	ServerClosed // by a close, or a reset
 	ServerReset
-	Dropped // the proxy ended the connection to the server
-	FellSilent
-	SpokeAgain
+	ProxyClosed // the proxy ended the connection to the server
+	ServerSilent
+	ServerResumed
 
-	LineHeld
+	LineDelayed
 	LineLost
-	LineDoubled
+	LineDuplicated
 	LineChanged
 
 	// Told: discovery wrote to a proxy what a server's state is. Value is 0 for ready, 1 for draining, 2 for gone.
-	Told
-	TippedOver
+	StateAnnounced
+	ColdServerOverloaded
 	ProxyKilled
-	ProxyBack
-	ProxyStopped
-	ProxyWoken
+	ProxyRestarted
+	ProxyPaused
+	ProxyResumed
 	Trouble // one began or ended; Note tells which
-	CarriedAsk
+	CarriedOver
 	// WayCut: nothing passes between a proxy and the servers of a zone, whose number is the Value; WayBack: it does again.
-	WayCut
-	WayBack
+	LinkCut
+	LinkRestored
 	// Connected: the client's connection came up, where it rested before it asked.
-	Connected
+	ClientConnected
 )
 
-var words = [...]string{
-	Asked: "the client has asked", HeardUp: "the client heard UP", HeardBusy: "the client was pushed back",
-	HeardFailed: "the client heard that it failed", HeardNothing: "the client's connection ended with no answer",
-	HeardMore: "the client heard more after its final answer", HeardMove: "the client heard MOVE",
-	Ended: "the client's connection was ended", Left: "the client left",
-	Arrived: "the first byte came", Taken: "the line came whole", Ran: "it ran",
-	SaidUp: "the server said UP", SaidBusy: "the server said BUSY", SaidErr: "the server said ERR",
-	SaidMove: "the server said MOVE", ServerEnded: "the server ended it", ServerReset: "the server reset it",
-	Dropped: "the proxy ended it", FellSilent: "the server fell silent", SpokeAgain: "the server spoke again",
-	LineHeld: "a line was held", LineLost: "a line was lost", LineDoubled: "a line came twice",
-	LineChanged: "a line was changed", Told: "discovery told", TippedOver: "a cold server tipped over",
-	ProxyKilled: "the proxy was killed", ProxyBack: "the proxy is back", ProxyStopped: "the proxy was stopped",
-	ProxyWoken: "the proxy was woken", Trouble: "trouble", CarriedAsk: "it stood before the run",
-	Connected: "the client connected, and rested",
-	WayCut:    "the proxy's ways to a zone were cut", WayBack: "the proxy's ways to a zone were back",
+var kindNames = [...]string{
+	RequestSent: "the client has asked", ClientReceivedUp: "the client heard UP", ClientReceivedBusy: "the client was pushed back",
+	ClientReceivedFailure: "the client heard that it failed", ClientUnanswered: "the client's connection ended with no answer",
+	ClientReceivedExtra: "the client heard more after its final answer", ClientReceivedMove: "the client heard MOVE",
+	ClientDisconnected: "the client's connection was ended", ClientLeft: "the client left",
+	DispatchArrived: "the first byte came", DispatchComplete: "the line came whole", DispatchRan: "it ran",
+	ServerSentUp: "the server said UP", ServerSentBusy: "the server said BUSY", ServerSentErr: "the server said ERR",
+	ServerSentMove: "the server said MOVE", ServerClosed: "the server ended it", ServerReset: "the server reset it",
+	ProxyClosed: "the proxy ended it", ServerSilent: "the server fell silent", ServerResumed: "the server spoke again",
+	LineDelayed: "a line was held", LineLost: "a line was lost", LineDuplicated: "a line came twice",
+	LineChanged: "a line was changed", StateAnnounced: "discovery told", ColdServerOverloaded: "a cold server tipped over",
+	ProxyKilled: "the proxy was killed", ProxyRestarted: "the proxy is back", ProxyPaused: "the proxy was stopped",
+	ProxyResumed: "the proxy was woken", Trouble: "trouble", CarriedOver: "it stood before the run",
+	ClientConnected: "the client connected, and rested",
+	LinkCut:         "the proxy's ways to a zone were cut", LinkRestored: "the proxy's ways to a zone were back",
 }
 
-func (k Kind) String() string { return words[k] }
+func (k Kind) String() string { return kindNames[k] }
 
-// ID is an attachment's, new with every connection; 0 where an event is of none.
-type ID uint64
+// AttachmentID is an attachment's, new with every connection; 0 where an event is of none.
+type AttachmentID uint64
 
 // None stands for no server, proxy or product.
 const None = -1
@@ -117,7 +117,7 @@
 type Event struct {
 	At                     Micros
 	Kind                   Kind
-	ID                     ID
+	ID                     AttachmentID
 	Server, Proxy, Product int
 	Value                  int64
 	Note                   string
@@ -132,9 +132,9 @@
 		text += fmt.Sprintf(", server %d", e.Server)
 	}
 	switch e.Kind {
-	case Asked:
+	case RequestSent:
 		text += fmt.Sprintf(", product %d, limit at %s", e.Product, Micros(e.Value))
-	case Told:
+	case StateAnnounced:
 		text += ": " + [...]string{"ready", "draining", "gone"}[e.Value]
 	}
 	if e.Note != "" {
@@ -143,18 +143,18 @@
 	return text
 }
 
-// Book is the record of a run. It may be written from anywhere.
-type Book struct {
+// EventLog is the record of a run. It may be written from anywhere.
+type EventLog struct {
 	Clock
 	mu     sync.Mutex
 	events []Event
 }
 
-// Open starts a record and its clock.
-func Open() *Book { return &Book{Clock: Start()} }
+// NewEventLog starts a record and its clock.
+func NewEventLog() *EventLog { return &EventLog{Clock: StartClock()} }
 
-// Write records an event; one without a time is as of now.
-func (b *Book) Write(e Event) {
+// Record records an event; one without a time is as of now.
+func (b *EventLog) Record(e Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if e.At == 0 {
@@ -164,7 +164,7 @@
 }
 
 // Events are all so far, in the order of time.
-func (b *Book) Events() []Event {
+func (b *EventLog) Events() []Event {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	events := slices.Clone(b.events)
--- a/lab/links/links_test.go
+++ b/lab/links/links_test.go
@@ -16,14 +16,14 @@
 	"hatchproxy/lab/links"
 )
 
-var a, b = netip.MustParseAddr("127.6.0.1"), netip.MustParseAddr("127.6.0.2")
+var addrA, addrB = netip.MustParseAddr("127.6.0.1"), netip.MustParseAddr("127.6.0.2")
 
-// echo is a machine's service that says each line back.
-func echo(t *testing.T) (*links.Net, string) {
+// startEchoService is a machine's service that says each line back.
+func startEchoService(t *testing.T) (*links.Network, string) {
 	n := links.New(1)
-	n.Machine("a", a)
-	n.Machine("b", b)
-	l, err := net.Listen("tcp", b.String()+":0")
+	n.AddMachine("a", addrA)
+	n.AddMachine("b", addrB)
+	l, err := net.Listen("tcp", addrB.String()+":0")
 	require.NoError(t, err)
 	go func() {
 		for {
@@ -34,27 +34,27 @@
 			go func() { _, _ = io.Copy(c, c); _ = c.Close() }()
 		}
 	}()
-	at, err := n.Serve("b", "127.6.1.2:0", l.Addr().String())
+	at, err := n.AddRelay("b", "127.6.1.2:0", l.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(func() { n.Close(); _ = l.Close() })
 	return n, at
 }
 
-type line struct {
+type echoClient struct {
 	*testing.T
 	net.Conn
 	*bufio.Reader
 }
 
-func dial(t *testing.T, at string) *line {
-	c, err := (&net.Dialer{LocalAddr: &net.TCPAddr{IP: a.AsSlice()}}).Dial("tcp", at)
+func dial(t *testing.T, at string) *echoClient {
+	c, err := (&net.Dialer{LocalAddr: &net.TCPAddr{IP: addrA.AsSlice()}}).Dial("tcp", at)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	return &line{t, c, bufio.NewReader(c)}
+	return &echoClient{t, c, bufio.NewReader(c)}
 }
 
-// says sends a line and tells how long it took until it was back.
-func (l *line) says(within time.Duration) (time.Duration, error) {
+// roundTrip sends a line and tells how long it took until it was back.
+func (l *echoClient) roundTrip(within time.Duration) (time.Duration, error) {
 	began := time.Now()
 	_, err := io.WriteString(l.Conn, "x\n")
 	require.NoError(l, err)
@@ -63,80 +63,80 @@
 	return time.Since(began), err
 }
 
-const soon = 20 * time.Second // far longer than a busy machine needs
+const replyTimeout = 20 * time.Second // far longer than a busy machine needs
 
 func TestWhatIsCutOneWayIsSilentAndComesOnceTheCutIsOver(t *testing.T) {
-	n, at := echo(t)
+	n, at := startEchoService(t)
 	l := dial(t, at)
-	_, err := l.says(soon)
+	_, err := l.roundTrip(replyTimeout)
 	require.NoError(t, err)
 	for _, way := range [][2]string{{"a", "b"}, {"b", "a"}} {
-		n.Set(way[0], way[1], links.Trouble{Cut: true})
-		_, err = l.says(100 * time.Millisecond)
+		n.SetImpairment(way[0], way[1], links.Impairment{Cut: true})
+		_, err = l.roundTrip(100 * time.Millisecond)
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "nothing comes, and nothing ends")
-		n.Set(way[0], way[1], links.Trouble{})
-		require.NoError(t, l.SetReadDeadline(time.Now().Add(soon)))
+		n.SetImpairment(way[0], way[1], links.Impairment{})
+		require.NoError(t, l.SetReadDeadline(time.Now().Add(replyTimeout)))
 		_, err = l.ReadString('\n')
 		require.NoError(t, err)
 	}
 }
 
 func TestANewConnectionThroughACutWaitsUntilItIsOver(t *testing.T) {
-	n, at := echo(t)
-	n.Set("b", "a", links.Trouble{Cut: true})
+	n, at := startEchoService(t)
+	n.SetImpairment("b", "a", links.Impairment{Cut: true})
 	l := dial(t, at)
-	_, err := l.says(100 * time.Millisecond)
+	_, err := l.roundTrip(100 * time.Millisecond)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-	n.Both("a", "b", links.Trouble{})
-	require.NoError(t, l.SetReadDeadline(time.Now().Add(soon)))
+	n.SetBothDirections("a", "b", links.Impairment{})
+	require.NoError(t, l.SetReadDeadline(time.Now().Add(replyTimeout)))
 	_, err = l.ReadString('\n')
 	require.NoError(t, err)
 }
 
 func TestDelayLossAndANarrowLinkHoldALineUpAndKeepTheOrder(t *testing.T) {
-	n, at := echo(t)
+	n, at := startEchoService(t)
 	l := dial(t, at)
-	n.Both("a", "b", links.Trouble{Delay: 40 * time.Millisecond, Jitter: 10 * time.Millisecond})
-	took, err := l.says(soon)
+	n.SetBothDirections("a", "b", links.Impairment{Delay: 40 * time.Millisecond, Jitter: 10 * time.Millisecond})
+	took, err := l.roundTrip(replyTimeout)
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, took, 80*time.Millisecond)
-	n.Both("a", "b", links.Trouble{Lost: 1})
-	took, err = l.says(soon)
+	n.SetBothDirections("a", "b", links.Impairment{LossProbability: 1})
+	took, err = l.roundTrip(replyTimeout)
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, took, 2*1400*time.Millisecond, "sent again three times each way: 0.2, 0.4 and 0.8 s")
-	n.Both("a", "b", links.Trouble{Rate: 20})
-	took, err = l.says(soon)
+	n.SetBothDirections("a", "b", links.Impairment{BytesPerSecond: 20})
+	took, err = l.roundTrip(replyTimeout)
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, took, 200*time.Millisecond, "two bytes each way at twenty a second")
 }
 
 func TestAResetEndsConnectionsAndAnIdleOneDiesInSilence(t *testing.T) {
-	n, at := echo(t)
+	n, at := startEchoService(t)
 	l := dial(t, at)
-	_, err := l.says(soon)
+	_, err := l.roundTrip(replyTimeout)
 	require.NoError(t, err)
-	n.Reset("b", "a")
-	require.NoError(t, l.SetReadDeadline(time.Now().Add(soon)))
+	n.ResetConnections("b", "a")
+	require.NoError(t, l.SetReadDeadline(time.Now().Add(replyTimeout)))
 	_, err = l.ReadString('\n')
 	require.ErrorIs(t, err, syscall.ECONNRESET)
 
 	l = dial(t, at)
-	_, err = l.says(soon)
+	_, err = l.roundTrip(replyTimeout)
 	require.NoError(t, err)
-	n.Both("a", "b", links.Trouble{Idle: time.Nanosecond})
-	_, err = l.says(100 * time.Millisecond)
+	n.SetBothDirections("a", "b", links.Impairment{IdleTimeout: time.Nanosecond})
+	_, err = l.roundTrip(100 * time.Millisecond)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-	n.Both("a", "b", links.Trouble{})
-	_, err = l.says(100 * time.Millisecond)
+	n.SetBothDirections("a", "b", links.Impairment{})
+	_, err = l.roundTrip(100 * time.Millisecond)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "and does not come back")
 }
 
 func TestAStrangerIsBrokenOff(t *testing.T) {
-	_, at := echo(t)
+	_, at := startEchoService(t)
 	c, err := net.Dial("tcp", at)
 	if err == nil {
 		defer c.Close()
-		require.NoError(t, c.SetReadDeadline(time.Now().Add(soon)))
+		require.NoError(t, c.SetReadDeadline(time.Now().Add(replyTimeout)))
 		_, err = c.Read(make([]byte, 1))
 	}
 	require.ErrorIs(t, err, syscall.ECONNRESET)
@@ -161,7 +161,7 @@
 			n, at := links.New(1), l.Addr().String()
 			defer n.Close()
 			if through {
-				at, err = n.Way("a", "b", at)
+				at, err = n.AddRelayBetween("a", "b", at)
 				require.NoError(b, err)
 			}
 			c, err := net.Dial("tcp", at)
