--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -26,15 +26,15 @@
 )
 
 var products = []load.Product{
-	{Name: "chat", Share: 3, Life: 2 * second, Quoted: second, Limit: 5 * second, Message: second, Gain: 1},
-	{Name: "pay", Share: 1, Life: second, Quoted: second, Limit: 5 * second, Message: second, Gain: 2},
+	{Name: "chat", Share: 3, MeanLifetime: 2 * second, QuotedSetUpTime: second, HardLimit: 5 * second, QuotedMessageTime: second, Gain: 1},
+	{Name: "pay", Share: 1, MeanLifetime: second, QuotedSetUpTime: second, HardLimit: 5 * second, QuotedMessageTime: second, Gain: 2},
 }
 
 func TestArrivalsFollowTheShapeAndTheSeed(t *testing.T) {
-	surge := []load.Bend{{At: 0, Rate: 20}, {At: 60 * second, Rate: 400}, {At: 70 * second, Rate: 400}}
-	a := load.Draw(surge, 70*second, products, load.Groups{Count: 50, Zipf: 1.1}, 4)
-	require.Equal(t, a, load.Draw(surge, 70*second, products, load.Groups{Count: 50, Zipf: 1.1}, 4))
-	require.NotEqual(t, a[0], load.Draw(surge, 70*second, products, load.Groups{Count: 50, Zipf: 1.1}, 5)[0])
+	surge := []load.RatePoint{{At: 0, Rate: 20}, {At: 60 * second, Rate: 400}, {At: 70 * second, Rate: 400}}
+	a := load.DrawArrivals(surge, 70*second, products, load.Groups{Count: 50, ZipfExponent: 1.1}, 4)
+	require.Equal(t, a, load.DrawArrivals(surge, 70*second, products, load.Groups{Count: 50, ZipfExponent: 1.1}, 4))
+	require.NotEqual(t, a[0], load.DrawArrivals(surge, 70*second, products, load.Groups{Count: 50, ZipfExponent: 1.1}, 5)[0])
 	in := func(from, to ledger.Micros) (n float64, pays float64) {
 		last := ledger.Micros(0)
 		for _, x := range a {
@@ -59,7 +59,7 @@
 }
 
 func TestATraceIsReadBackAsItWasAndAGarbledOneIsRefusedWithItsLine(t *testing.T) {
-	drawn := load.Draw([]load.Bend{{Rate: 200}}, 3*second, products, load.Groups{Count: 9, Zipf: 1.2}, 4)
+	drawn := load.DrawArrivals([]load.RatePoint{{Rate: 200}}, 3*second, products, load.Groups{Count: 9, ZipfExponent: 1.2}, 4)
 	var text bytes.Buffer
 	require.NoError(t, load.WriteTrace(&text, drawn, products))
 	back, err := load.ReadTrace(bytes.NewReader(text.Bytes()), "a.trace", products)
@@ -106,13 +106,13 @@
 	})
 }
 
-// play has clients go straight to an address for a while.
-func play(t *testing.T, address string, rate float64, length ledger.Micros, habits load.Habits) *load.Tally {
+// runClients has clients go straight to an address for a while.
+func runClients(t *testing.T, address string, rate float64, length ledger.Micros, habits load.Habits) *load.Tally {
 	t.Helper()
 	tally := load.NewTally(length)
 	route := func(*rand.Rand, int, uint64) (string, int, bool) { return address, ledger.None, true }
-	c := load.NewClients(ledger.Open(), tally, products, route, habits, length, 9)
-	c.Play(context.Background(), load.Draw([]load.Bend{{Rate: rate}}, length, products, load.Groups{}, 9))
+	c := load.NewClients(ledger.NewEventLog(), tally, products, route, habits, length, 9)
+	c.Play(context.Background(), load.DrawArrivals([]load.RatePoint{{Rate: rate}}, length, products, load.Groups{}, 9))
 	c.Wait()
 	return tally
 }
@@ -125,21 +125,21 @@
 		quantiles, within, length = []float64{0.5, 0.9, 0.99, 0.999}, 0.05, 30*second
 	}
 	for _, delay := range []ledger.Micros{20 * ms, 50 * ms, 200 * ms} {
-		f, err := fleet.Start(ledger.Open(), fleet.Plan{Servers: 1, Zones: []string{"a"}, Message: delay,
-			Kinds: []fleet.Kind{{Name: "m", Share: 1, Cores: 1, Speed: 1}}}, 1)
+		f, err := fleet.Start(ledger.NewEventLog(), fleet.Config{ServerCount: 1, Zones: []string{"a"}, MessageTime: delay,
+			MachineKinds: []fleet.MachineKind{{Name: "m", Share: 1, Cores: 1, Speed: 1}}}, 1)
 		require.NoError(t, err)
-		require.NoError(t, f.Begin(fleet.Step{Trouble: fleet.Trouble{Kind: "store", Size: float64(delay / ms)}}))
+		require.NoError(t, f.BeginTrouble(fleet.ScheduledTrouble{Trouble: fleet.Trouble{Kind: "store", Size: float64(delay / ms)}}))
 		// Once before, so that the runtime's threads are there: the first connections pay for them.
-		play(t, f.Addresses(0)[0], 100, second, load.Habits{Zones: 1, Every: second / 4})
-		tally := play(t, f.Addresses(0)[0], 100, length, load.Habits{Zones: 1, Every: second / 4})
+		runClients(t, f.Addresses(0)[0], 100, second, load.Habits{ZoneCount: 1, MessageInterval: second / 4})
+		tally := runClients(t, f.Addresses(0)[0], 100, length, load.Habits{ZoneCount: 1, MessageInterval: second / 4})
 		f.Stop()
 		for _, q := range quantiles {
-			for name, s := range map[string]*load.Series{"set-up": tally.SetUp, "line": tally.Line} {
+			for name, s := range map[string]*load.Histogram{"set-up": tally.SetUpLatency, "line": tally.MessageLatency} {
 				require.Greater(t, s.Count(), int64(100))
 				if os.Getenv("HATCHLAB_LONG") != "" {
-					t.Logf("delay %s, %s p%g: %s", delay, name, 100*q, s.At(q))
+					t.Logf("delay %s, %s p%g: %s", delay, name, 100*q, s.Quantile(q))
 				}
-				assert.InEpsilon(t, float64(delay), float64(s.At(q)), within, "%s p%g of %s", name, 100*q, delay)
+				assert.InEpsilon(t, float64(delay), float64(s.Quantile(q)), within, "%s p%g of %s", name, 100*q, delay)
 			}
 		}
 	}
@@ -169,40 +169,40 @@
 			}()
 		}
 	}()
-	tally := play(t, l.Addr().String(), rate, 3*second, load.Habits{Zones: 1, Every: second})
-	require.InDelta(t, 3*rate, tally.Asks.Load(), 100)
-	require.Equal(t, tally.Asks.Load(), tally.Busy.Load())
-	require.Less(t, tally.Late.At(1), 200*ms, "the generator keeps its schedule")
-	in := float64(tally.Answer.Over(20 * ms))
+	tally := runClients(t, l.Addr().String(), rate, 3*second, load.Habits{ZoneCount: 1, MessageInterval: second})
+	require.InDelta(t, 3*rate, tally.Requests.Load(), 100)
+	require.Equal(t, tally.Requests.Load(), tally.Busy.Load())
+	require.Less(t, tally.ArrivalLateness.Quantile(1), 200*ms, "the generator keeps its schedule")
+	in := float64(tally.AnswerLatency.CountAbove(20 * ms))
 	require.InDelta(t, 2*rate, in, 4*math.Sqrt(2*rate), "all of the stall waited")
-	require.InDelta(t, 2*rate*0.5, float64(tally.Answer.Over(second)), 4*math.Sqrt(rate), "half of them for more than half of it")
-	require.InDelta(t, float64(2*second), float64(tally.Answer.At(1)), float64(second/5))
+	require.InDelta(t, 2*rate*0.5, float64(tally.AnswerLatency.CountAbove(second)), 4*math.Sqrt(rate), "half of them for more than half of it")
+	require.InDelta(t, float64(2*second), float64(tally.AnswerLatency.Quantile(1)), float64(second/5))
 }
 
 func TestWhoIsToldToComeBackLaterDoesSoIfItHeeds(t *testing.T) {
 	for heed, want := range map[float64]ledger.Micros{1: 300 * ms, 0: 0} {
-		p, err := fleet.NewPuppet(func(string) string { return "BUSY 300" })
+		p, err := fleet.StartScriptedServer(func(string) string { return "BUSY 300" })
 		require.NoError(t, err)
-		tally := play(t, p.Address, 20, second, load.Habits{Zones: 1, Retries: 1, Heed: heed, Every: second, Wait: ms, Marks: true})
-		p.Stop()
+		tally := runClients(t, p.Address, 20, second, load.Habits{ZoneCount: 1, MaxRetries: 1, HeedShare: heed, MessageInterval: second, MeanRetryDelay: ms, MarkRetries: true})
+		p.CloseListener()
 		require.Positive(t, tally.Retries.Load())
 		again := 0
-		for _, line := range p.Lines() {
+		for _, line := range p.FirstLines() {
 			if strings.Contains(line, ",r=1") {
 				again++
 			}
 		}
 		require.EqualValues(t, tally.Retries.Load(), again)
 		if want > 0 {
-			require.Less(t, tally.Retries.Load(), tally.Asks.Load()/2, "those told near the end come no more")
+			require.Less(t, tally.Retries.Load(), tally.Requests.Load()/2, "those told near the end come no more")
 		}
 	}
 }
 
 func TestAMovedClientComesAgainAndTheServedSecondsAreThoseWithAnswersInTime(t *testing.T) {
-	book := ledger.Open()
-	f, err := fleet.Start(book, fleet.Plan{Servers: 2, Zones: []string{"a"}, Message: ms, Load: 1000, Sheds: true,
-		Kinds: []fleet.Kind{{Name: "m", Share: 1, Cores: 4, Speed: 1}}}, 1)
+	book := ledger.NewEventLog()
+	f, err := fleet.Start(book, fleet.Config{ServerCount: 2, Zones: []string{"a"}, MessageTime: ms, ConnLoad: 1000, MovesClientsOnDrain: true,
+		MachineKinds: []fleet.MachineKind{{Name: "m", Share: 1, Cores: 4, Speed: 1}}}, 1)
 	require.NoError(t, err)
 	defer f.Stop()
 	const length = 4 * second
@@ -210,15 +210,15 @@
 	route := func(rng *rand.Rand, zone int, _ uint64) (string, int, bool) {
 		return f.RandomAddress(rng, zone), ledger.None, true
 	}
-	c := load.NewClients(book, tally, products[:1], route, load.Habits{Zones: 1, Every: second / 5, Rejoin: 50 * ms, Skew: 1}, length, 2)
-	crowd := load.Crowd(60, 0, 0, 2)
+	c := load.NewClients(book, tally, products[:1], route, load.Habits{ZoneCount: 1, MessageInterval: second / 5, MaxRejoinDelay: 50 * ms, FirstZoneShare: 1}, length, 2)
+	crowd := load.PermanentArrivals(60, 0, 0, 2)
 	require.Zero(t, c.Carry(context.Background(), crowd, func(int) string { return "s000" }))
-	drain := fleet.Step{Trouble: fleet.Trouble{Kind: "drain", For: second, Servers: []int{0}}}
-	time.AfterFunc(time.Second, func() { _ = f.Begin(drain) })
+	drain := fleet.ScheduledTrouble{Trouble: fleet.Trouble{Kind: "drain", Duration: second, Targets: []int{0}}}
+	time.AfterFunc(time.Second, func() { _ = f.BeginTrouble(drain) })
 	c.Play(context.Background(), nil)
 	c.Wait()
 	require.Positive(t, tally.Moves.Load())
-	require.Equal(t, tally.Moves.Load(), tally.Ups.Load()-60, "each comes again once")
-	require.Greater(t, tally.Share(0, length), 0.9)
-	require.Less(t, tally.Share(0, length), 1.0, "the gap of a move is not served")
+	require.Equal(t, tally.Moves.Load(), tally.Established.Load()-60, "each comes again once")
+	require.Greater(t, tally.ServedShare(0, length), 0.9)
+	require.Less(t, tally.ServedShare(0, length), 1.0, "the gap of a move is not served")
 }
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -10,33 +10,33 @@
 	"strings"
 )
 
-// traceHead is a trace's first line; the number is the format's version. Then comes a line for each arrival, in the
+// traceHeader is a trace's first line; the number is the format's version. Then comes a line for each arrival, in the
 // order of time: at, in microseconds from the start; the product's name; the group, 0 for none, and the key, both in
 // hexadecimal; how long the client wants to be connected, in microseconds. Lines that begin with # and empty ones
 // are passed over.
-const traceHead = "hatchlab-trace 1"
+const traceHeader = "hatchlab-trace 1"
 
 // WriteTrace writes arrivals down.
 func WriteTrace(w io.Writer, arrivals []Arrival, products []Product) error {
 	out := bufio.NewWriter(w)
-	fmt.Fprintln(out, traceHead)
+	fmt.Fprintln(out, traceHeader)
 	fmt.Fprintln(out, "# at_us product group key life_us")
 	for _, a := range arrivals {
-		fmt.Fprintf(out, "%d %s %x %x %d\n", a.At, products[a.Product].Name, a.Group, a.Key, a.Life)
+		fmt.Fprintf(out, "%d %s %x %x %d\n", a.At, products[a.Product].Name, a.Group, a.Key, a.Lifetime)
 	}
 	return out.Flush()
 }
 
 // mostArrivals bounds what a trace may hold; longestLine what a line of it may.
 const (
-	mostArrivals = 10_000_000
-	longestLine  = 4096
+	maxTraceArrivals = 10_000_000
+	maxTraceLine     = 4096
 )
 
 // ReadTrace reads what WriteTrace wrote. What is wrong is told with its line, and nothing is returned then.
 func ReadTrace(r io.Reader, name string, products []Product) ([]Arrival, error) {
 	in := bufio.NewScanner(r)
-	in.Buffer(make([]byte, longestLine), longestLine)
+	in.Buffer(make([]byte, maxTraceLine), maxTraceLine)
 	var found []Arrival
 	number := 0
 	wrong := func(why error) ([]Arrival, error) { return nil, fmt.Errorf("%s:%d: %w", name, number, why) }
@@ -45,20 +45,20 @@
 		line := in.Text()
 		switch {
 		case number == 1:
-			if line != traceHead {
-				return wrong(fmt.Errorf("a trace begins with %q", traceHead))
+			if line != traceHeader {
+				return wrong(fmt.Errorf("a trace begins with %q", traceHeader))
 			}
 		case line == "" || line[0] == '#':
 		default:
-			a, err := readArrival(line, products)
+			a, err := parseArrival(line, products)
 			if err != nil {
 				return wrong(err)
 			}
 			if len(found) > 0 && a.At < found[len(found)-1].At {
 				return wrong(errors.New("it comes before the line above"))
 			}
-			if len(found) == mostArrivals {
-				return wrong(fmt.Errorf("more than %d arrivals", mostArrivals))
+			if len(found) == maxTraceArrivals {
+				return wrong(fmt.Errorf("more than %d arrivals", maxTraceArrivals))
 			}
 			found = append(found, a)
 		}
@@ -74,7 +74,7 @@
 	return found, nil
 }
 
-func readArrival(line string, products []Product) (Arrival, error) {
+func parseArrival(line string, products []Product) (Arrival, error) {
 	var a Arrival
 	words := strings.Fields(line)
 	if len(words) != 5 {
@@ -90,7 +90,7 @@
 		into       func(uint64)
 	}{
 		{"at", words[0], 10, func(x uint64) { a.At = Micros(x) }}, {"group", words[2], 16, func(x uint64) { a.Group = x }},
-		{"key", words[3], 16, func(x uint64) { a.Key = x }}, {"life", words[4], 10, func(x uint64) { a.Life = Micros(x) }},
+		{"key", words[3], 16, func(x uint64) { a.Key = x }}, {"life", words[4], 10, func(x uint64) { a.Lifetime = Micros(x) }},
 	} {
 		bits := 64
 		if part.base == 10 {
--- a/lab/beat/beat_test.go
+++ b/lab/precisetimer/precisetimer_test.go
@@ -1,4 +1,4 @@
-package beat_test
+package precisetimer_test
 
 import (
 	"slices"
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"hatchproxy/lab/beat"
+	"hatchproxy/lab/precisetimer"
 )
 
 func TestCallsRunAtTheirTimeInOrderAndStoppedOnesDoNot(t *testing.T) {
@@ -19,13 +19,13 @@
 	for i := range 200 {
 		at := begin.Add(time.Duration(200-i) * time.Millisecond)
 		all.Add(1)
-		beat.At(at, func() {
+		precisetimer.RunAt(at, func() {
 			defer all.Done()
 			mu.Lock()
 			defer mu.Unlock()
 			late = append(late, time.Since(at))
 		})
-		beat.At(at, func() { t.Error("it was stopped") }).Stop()
+		precisetimer.RunAt(at, func() { t.Error("it was stopped") }).Stop()
 	}
 	all.Wait()
 	slices.Sort(late)
@@ -36,7 +36,7 @@
 func TestWaitingEndsWithItsContext(t *testing.T) {
 	done := make(chan struct{})
 	time.AfterFunc(20*time.Millisecond, func() { close(done) })
-	require.False(t, beat.Until(time.Now().Add(time.Hour), done))
-	require.True(t, beat.Until(time.Now().Add(time.Millisecond), nil))
-	require.True(t, beat.Until(time.Now().Add(-time.Second), done), "what is past is past")
+	require.False(t, precisetimer.WaitUntil(time.Now().Add(time.Hour), done))
+	require.True(t, precisetimer.WaitUntil(time.Now().Add(time.Millisecond), nil))
+	require.True(t, precisetimer.WaitUntil(time.Now().Add(-time.Second), done), "what is past is past")
 }
--- a/lab/sysfault/filter.go
+++ b/lab/sysfault/filter.go
@@ -16,16 +16,16 @@
 // The launcher is this same program, executed anew with launcherCalls in its environment: it filters itself and then
 // executes what its arguments name. It never returns to main.
 const (
-	launcherCalls  = "SYSFAULT_CALLS"  // numbers of system calls, separated by commas
-	launcherSocket = "SYSFAULT_SOCKET" // the descriptor over which the notifications' one is handed over
+	launcherCallsEnv  = "SYSFAULT_CALLS"  // numbers of system calls, separated by commas
+	launcherSocketEnv = "SYSFAULT_SOCKET" // the descriptor over which the notifications' one is handed over
 )
 
 func init() {
-	calls, is := os.LookupEnv(launcherCalls)
+	calls, is := os.LookupEnv(launcherCallsEnv)
 	if !is {
 		return
 	}
-	if err := launch(calls, os.Getenv(launcherSocket)); err != nil {
+	if err := launch(calls, os.Getenv(launcherSocketEnv)); err != nil {
 		fmt.Fprintln(os.Stderr, "sysfault:", err)
 	}
 	os.Exit(127)
@@ -49,7 +49,7 @@
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return fmt.Errorf("no new privileges: %w", err)
 	}
-	listener, err := install(filtered)
+	listener, err := installFilter(filtered)
 	if err != nil {
 		return fmt.Errorf("the filter: %w", err)
 	}
@@ -58,13 +58,13 @@
 	}
 	_ = unix.Close(listener)
 	unix.CloseOnExec(over)
-	_ = os.Unsetenv(launcherCalls)
-	_ = os.Unsetenv(launcherSocket)
+	_ = os.Unsetenv(launcherCallsEnv)
+	_ = os.Unsetenv(launcherSocketEnv)
 	return unix.Exec(os.Args[0], os.Args, os.Environ())
 }
 
-// install sets the filter: the named calls are notified, all others pass.
-func install(filtered []uint32) (listener int, err error) {
+// installFilter sets the filter: the named calls are notified, all others pass.
+func installFilter(filtered []uint32) (listener int, err error) {
 	const numberAt = 0 // struct seccomp_data begins with the call's number
 	program := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: numberAt}}
 	for i, number := range filtered {
@@ -85,7 +85,7 @@
 }
 
 // startFiltered starts a command through the launcher and returns the descriptor of its notifications.
-func startFiltered(command *exec.Cmd, groups []Call) (listener int, err error) {
+func startFiltered(command *exec.Cmd, groups []CallGroup) (listener int, err error) {
 	self, err := os.Executable()
 	if err != nil {
 		return -1, err
@@ -99,7 +99,7 @@
 	defer other.Close()
 	var calls []string
 	for _, group := range groups {
-		for _, number := range numbers[group] {
+		for _, number := range callNumbers[group] {
 			calls = append(calls, strconv.Itoa(int(number)))
 		}
 	}
@@ -108,8 +108,8 @@
 	}
 	command.ExtraFiles = append(command.ExtraFiles, other)
 	const firstExtra = 3
-	command.Env = append(command.Environ(), launcherCalls+"="+strings.Join(calls, ","),
-		launcherSocket+"="+strconv.Itoa(firstExtra+len(command.ExtraFiles)-1))
+	command.Env = append(command.Environ(), launcherCallsEnv+"="+strings.Join(calls, ","),
+		launcherSocketEnv+"="+strconv.Itoa(firstExtra+len(command.ExtraFiles)-1))
 	command.Args[0] = command.Path // what the launcher executes
 	command.Path = self
 	if err := command.Start(); err != nil {
--- a/lab/sysfault/notify.go
+++ b/lab/sysfault/notify.go
@@ -27,8 +27,8 @@
 	flags uint32
 }
 
-// await waits for a notification; over tells that the process is gone, which the receiving call itself does not notice.
-func await(listener int) (over bool, err error) {
+// awaitNotification waits for a notification; over tells that the process is gone, which the receiving call itself does not notice.
+func awaitNotification(listener int) (over bool, err error) {
 	waits := []unix.PollFd{{Fd: int32(listener), Events: unix.POLLIN}}
 	for {
 		_, err := unix.Poll(waits, -1)
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// borrow duplicates the descriptor that is a call's first argument.
-func borrow(n *notification) (fd int, err error) {
+// duplicateDescriptor duplicates the descriptor that is a call's first argument.
+func duplicateDescriptor(n *notification) (fd int, err error) {
 	const thread = unix.O_EXCL // PIDFD_THREAD, of Linux 6.9 on: notifications name threads
 	process, err := unix.PidfdOpen(int(n.pid), thread)
 	if err != nil {
@@ -71,7 +71,7 @@
 }
 
 func isSocket(n *notification) bool {
-	fd, err := borrow(n)
+	fd, err := duplicateDescriptor(n)
 	if err != nil {
 		return false
 	}
@@ -80,17 +80,17 @@
 	return err == nil
 }
 
-// mostMoved bounds a partial transfer.
-const mostMoved = 64 << 10
+// maxPartialTransfer bounds a partial transfer.
+const maxPartialTransfer = 64 << 10
 
 // transferPart makes a part of a read or write of a socket in the process's place. False where it is none that can be
 // made in part: then the process makes it itself.
 func transferPart(n *notification, part func(whole int) int) (moved int64, did bool) {
-	whole := int(min(n.data.arguments[2], mostMoved))
+	whole := int(min(n.data.arguments[2], maxPartialTransfer))
 	if n.data.number != unix.SYS_READ && n.data.number != unix.SYS_WRITE || whole < 2 {
 		return 0, false
 	}
-	fd, err := borrow(n)
+	fd, err := duplicateDescriptor(n)
 	if err != nil {
 		return 0, false
 	}
--- a/lab/sysfault/sysfault_test.go
+++ b/lab/sysfault/sysfault_test.go
@@ -17,10 +17,10 @@
 )
 
 // The child of these tests makes the call that it is told on a line, and says on one how it ended.
-const childMark = "SYSFAULT_TEST_CHILD"
+const childEnv = "SYSFAULT_TEST_CHILD"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(childMark) != "" {
+	if os.Getenv(childEnv) != "" {
 		serveCalls()
 		return
 	}
@@ -35,14 +35,14 @@
 	}
 	in := bufio.NewScanner(os.Stdin)
 	for in.Scan() {
-		fmt.Println(outcome(in.Text(), pair))
+		fmt.Println(makeCall(in.Text(), pair))
 	}
 }
 
-// whole is what the child writes and reads in one call.
-const whole = 100
+// transferSize is what the child writes and reads in one call.
+const transferSize = 100
 
-func outcome(call string, pair [2]int) string {
+func makeCall(call string, pair [2]int) string {
 	var err error
 	moved := 0
 	switch call {
@@ -76,9 +76,9 @@
 		err = unix.EpollCtl(poller, unix.EPOLL_CTL_ADD, pair[0], &unix.EpollEvent{Fd: int32(pair[0])})
 		_ = unix.Close(poller)
 	case "write":
-		moved, err = unix.Write(pair[0], make([]byte, whole))
+		moved, err = unix.Write(pair[0], make([]byte, transferSize))
 	case "read":
-		moved, err = unix.Read(pair[1], make([]byte, whole))
+		moved, err = unix.Read(pair[1], make([]byte, transferSize))
 	}
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
@@ -95,9 +95,9 @@
 	out  *bufio.Scanner
 }
 
-func newChild(t *testing.T, groups ...sysfault.Call) *child {
+func newChild(t *testing.T, groups ...sysfault.CallGroup) *child {
 	command := exec.Command(os.Args[0])
-	command.Env = append(os.Environ(), childMark+"=1")
+	command.Env = append(os.Environ(), childEnv+"=1")
 	command.Stderr = os.Stderr
 	in, err := command.StdinPipe()
 	require.NoError(t, err)
@@ -108,7 +108,7 @@
 	t.Cleanup(func() {
 		_ = in.Close()
 		_ = command.Wait()
-		<-shim.Ended()
+		<-shim.Done()
 	})
 	return &child{t, shim, bufio.NewWriter(in), bufio.NewScanner(out)}
 }
@@ -122,17 +122,17 @@
 }
 
 func TestEachListedErrorArrives(t *testing.T) {
-	for group, errnos := range sysfault.Usual {
+	for group, errnos := range sysfault.TransientErrors {
 		t.Run(string(group), func(t *testing.T) {
 			t.Parallel()
 			c := newChild(t, group)
 			before := c.call(string(group))
 			for _, errno := range errnos {
-				end := c.shim.Begin(sysfault.Fault{Call: group, Errors: []syscall.Errno{errno}, Chance: 1})
+				end := c.shim.Begin(sysfault.Fault{Group: group, Errors: []syscall.Errno{errno}, Probability: 1})
 				require.Equal(t, unix.ErrnoName(errno), c.call(string(group)))
 				end()
 				require.Equal(t, before, c.call(string(group)), "and it is over with the fault")
-				require.Positive(t, c.shim.Failed()[group][unix.ErrnoName(errno)])
+				require.Positive(t, c.shim.Failures()[group][unix.ErrnoName(errno)])
 			}
 		})
 	}
@@ -140,15 +140,15 @@
 
 func TestTransfersOfSocketsAreCutShortAndNothingIsLost(t *testing.T) {
 	c := newChild(t, sysfault.Read, sysfault.Write)
-	require.Equal(t, fmt.Sprint("moved ", whole), c.call("write"))
-	require.Equal(t, fmt.Sprint("moved ", whole), c.call("read"))
-	c.shim.Begin(sysfault.Fault{Call: sysfault.Write, Short: true, Chance: 1})
+	require.Equal(t, fmt.Sprint("moved ", transferSize), c.call("write"))
+	require.Equal(t, fmt.Sprint("moved ", transferSize), c.call("read"))
+	c.shim.Begin(sysfault.Fault{Group: sysfault.Write, Short: true, Probability: 1})
 	var written, read int
 	_, err := fmt.Sscanf(c.call("write"), "moved %d", &written)
 	require.NoError(t, err)
 	require.Greater(t, written, 0)
-	require.Less(t, written, whole)
-	c.shim.Begin(sysfault.Fault{Call: sysfault.Read, Short: true, Chance: 1})
+	require.Less(t, written, transferSize)
+	c.shim.Begin(sysfault.Fault{Group: sysfault.Read, Short: true, Probability: 1})
 	for rest := written; rest > 0; rest -= read {
 		line := c.call("read")
 		_, err := fmt.Sscanf(line, "moved %d", &read)
@@ -161,7 +161,7 @@
 func TestOneSeedFailsTheSameCalls(t *testing.T) {
 	outcomes := func() string {
 		c := newChild(t, sysfault.Socket)
-		c.shim.Begin(sysfault.Fault{Call: sysfault.Socket, Chance: 0.5})
+		c.shim.Begin(sysfault.Fault{Group: sysfault.Socket, Probability: 0.5})
 		var said []string
 		for range 40 {
 			said = append(said, c.call("socket"))
@@ -175,7 +175,7 @@
 
 func TestAFaultEndsAfterSoManyFailures(t *testing.T) {
 	c := newChild(t, sysfault.Socket)
-	c.shim.Begin(sysfault.Fault{Call: sysfault.Socket, Errors: []syscall.Errno{unix.ENOBUFS}, Chance: 1, Skip: 1, Most: 2})
+	c.shim.Begin(sysfault.Fault{Group: sysfault.Socket, Errors: []syscall.Errno{unix.ENOBUFS}, Probability: 1, Skip: 1, MaxFailures: 2})
 	require.Equal(t, "moved 0", c.call("socket"))
 	require.Equal(t, "ENOBUFS", c.call("socket"))
 	require.Equal(t, "ENOBUFS", c.call("socket"))
