--- a/lab/fleet/blackhole.go
+++ b/lab/fleet/blackhole.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// blackholeAddress takes the place of a listener with one that accepts nobody and whose queue is full, so that the kernel
-// drops what comes: a connection to it neither comes up nor is refused. The call returns what has it listen no more.
+// blackholeAddress listens at an address, which must be free, without accepting, and fills the listen queue. The kernel then drops
+// further SYN packets, so that connecting to the address neither succeeds nor is refused. The returned function frees the address.
 func blackholeAddress(address string) (func(), error) {
-	at, err := netip.ParseAddrPort(address)
+	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
 	}
@@ -19,31 +19,31 @@
 	if err != nil {
 		return nil, err
 	}
-	shut := func() { _ = syscall.Close(fd) }
+	closeSocket := func() { _ = syscall.Close(fd) }
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
-		shut()
+		closeSocket()
 		return nil, err
 	}
-	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}); err != nil {
-		shut()
-		return nil, fmt.Errorf("vanish at %s: %w", address, err)
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Port: int(addrPort.Port()), Addr: addrPort.Addr().As4()}); err != nil {
+		closeSocket()
+		return nil, fmt.Errorf("bind %s: %w", address, err)
 	}
 	if err := syscall.Listen(fd, 0); err != nil {
-		shut()
+		closeSocket()
 		return nil, err
 	}
-	var stuffed []net.Conn
-	for range 4 { // a queue of length 0 takes one or two
+	var queued []net.Conn
+	for range 4 { // a listen queue with backlog 0 holds one or two connections
 		c, err := net.DialTimeout("tcp", address, 20*time.Millisecond)
 		if err != nil {
 			break
 		}
-		stuffed = append(stuffed, c)
+		queued = append(queued, c)
 	}
 	return func() {
-		for _, c := range stuffed {
+		for _, c := range queued {
 			_ = c.Close()
 		}
-		shut()
+		closeSocket()
 	}, nil
 }
--- a/lab/fleet/discovery.go
+++ b/lab/fleet/discovery.go
@@ -14,7 +14,7 @@
 	"hatchproxy/lab/ledger"
 )
 
-// serverState is a server's in the list. Its numbers are those of ledger.Told.
+// serverState is the state of a server on the list. Its numbers are the values of ledger.StateAnnounced events.
 type serverState int
 
 const (
@@ -25,8 +25,8 @@
 
 var stateNames = [...]string{"ready", "draining", "gone"}
 
-// listEntry is a server on the list, in the form of the protocol's page but for the endpoint, which differs from zone to
-// zone. A list belongs to no proxy: each asks at a front of its own.
+// listEntry is a version of a server's entry on the list, with the JSON fields of discovery's answers. Endpoint and State are
+// filled in for an answer, since the endpoint depends on the zone of the proxy that asks.
 type listEntry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -37,30 +37,32 @@
 	Weight   float64 `json:"capacity_hint"`
 	BootMS   int64   `json:"boot_ms"`
 
-	serverNumber    int
+	serverNumber    int // in the fleet
 	state           serverState
 	endpoints       []string // by zone
-	rev             int64
+	rev             int64    // the list's version with this entry
 	changedAt       Micros
-	listedBeforeRun bool // it is on the list since long before the run
+	listedBeforeRun bool // it was on the list long before the run
 }
 
-// beforeRunAge is more than any lateness of discovery.
+// beforeRunAge is the age at the run's start of entries that were listed before; it exceeds any delay of discovery.
 const beforeRunAge = 3600 * ledger.Second
 
-// ServerList is the true list with its history, which fronts tell late, stale or not at all.
+// ServerList is the true list of servers with its history. Discovery servers show it to proxies: with a delay, outdated or not at
+// all, if a trouble says so.
 type ServerList struct {
 	eventLog *ledger.EventLog
 	mu       sync.Mutex
-	history  []listEntry // the entry at i is of version i+1
-	changed  chan struct{}
+	history  []listEntry   // the entry at i is of version i+1
+	changed  chan struct{} // closed at the next change
 }
 
-// NewServerList makes an empty list.
-func NewServerList(book *ledger.EventLog) *ServerList {
-	return &ServerList{eventLog: book, changed: make(chan struct{})}
+// NewServerList returns an empty list. Answers to proxies are recorded in eventLog.
+func NewServerList(eventLog *ledger.EventLog) *ServerList {
+	return &ServerList{eventLog: eventLog, changed: make(chan struct{})}
 }
 
+// set makes an entry the newest version of its server's, and sets its rev and time.
 func (l *ServerList) set(e listEntry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,12 +74,14 @@
 	l.notifyChange()
 }
 
+// notifyChange wakes the requests that wait for a change. The lock is held.
 func (l *ServerList) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// DiscoveryServer is the discovery that one proxy asks. How it fails is for all fronts of a list alike, or for one.
+// DiscoveryServer is the discovery service of one proxy: an HTTP server that shows a ServerList and can be made to fail. The discovery
+// servers of a list fail independently of each other.
 type DiscoveryServer struct {
 	list  *ServerList
 	proxy int
@@ -87,192 +91,201 @@
 	address           string
 	httpServer        *http.Server
 	delay             Micros
-	frozenRev         int64 // the version that it goes on telling; 0 if the newest
-	failure           string
-	sentRevs          map[int]int64     // the version last told, by server
-	endpointOverrides map[string]string // by endpoint
+	frozenRev         int64             // the version that it keeps showing; 0 for the newest
+	failure           string            // as given to SetFailure
+	sentRevs          map[int]int64     // the version sent last, by server number
+	endpointOverrides map[string]string // the address that is shown instead, by endpoint
 	requestCount      int
-	lastUnanswered    int // calls up to this one are never answered
+	lastUnanswered    int // requests up to this number are never answered
 }
 
-// malformedAnswers is what a front answers that has lost its mind; each is to be refused whole.
+// malformedAnswers are the answers of a discovery server whose failure is "garbage". A proxy must reject each as a whole.
 var malformedAnswers = []string{"{", `{"rev":9,"all":true,"targets":[{"uid":"x","state":"odd"}]}`, `{"all":true,"targets":[]}`,
 	`{"rev":"x"}`, "<html>no</html>", ""}
 
-// StartDiscovery starts a front for a proxy of a zone, on a loopback address.
+// StartDiscovery starts a discovery server for a proxy in a zone, on a loopback address.
 func (l *ServerList) StartDiscovery(proxy, zone int) (*DiscoveryServer, error) {
 	return l.startDiscoveryAt("127.0.0.1:0", proxy, zone)
 }
 
+// startDiscoveryAt is StartDiscovery with the address to listen at.
 func (l *ServerList) startDiscoveryAt(address string, proxy, zone int) (*DiscoveryServer, error) {
-	f := &DiscoveryServer{list: l, proxy: proxy, zone: zone, sentRevs: map[int]int64{}}
-	return f, f.listen(address)
+	d := &DiscoveryServer{list: l, proxy: proxy, zone: zone, sentRevs: map[int]int64{}}
+	return d, d.listen(address)
 }
 
-func (f *DiscoveryServer) listen(address string) error {
-	at, err := net.Listen("tcp", address)
+// listen starts the HTTP server at an address.
+func (d *DiscoveryServer) listen(address string) error {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
-	server := &http.Server{Handler: f, ReadHeaderTimeout: 10 * time.Second}
-	f.mu.Lock()
-	f.address, f.httpServer = at.Addr().String(), server
-	f.mu.Unlock()
-	go func() { _ = server.Serve(at) }() // it ends with Close
+	httpServer := &http.Server{Handler: d, ReadHeaderTimeout: 10 * time.Second}
+	d.mu.Lock()
+	d.address, d.httpServer = listener.Addr().String(), httpServer
+	d.mu.Unlock()
+	go func() { _ = httpServer.Serve(listener) }() // returns after Close or Shutdown
 	return nil
 }
 
-// Address is where it listens now.
-func (f *DiscoveryServer) Address() string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.address
+// Address returns the address at which the server listens now.
+func (d *DiscoveryServer) Address() string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.address
 }
 
-// RewriteEndpoints has it tell, for each endpoint, where its proxy reaches that; asked once for each, now for those on the list.
-func (f *DiscoveryServer) RewriteEndpoints(way func(server int, endpoint string) (string, error)) error {
-	f.list.mu.Lock()
-	history := f.list.history
-	f.list.mu.Unlock()
-	reached := map[string]string{}
+// RewriteEndpoints replaces the endpoints of the servers that are on the list now by the addresses that rewrite returns, for instance
+// those of a link that can be cut. It calls rewrite once for each endpoint, and returns its error, if any, without a change.
+func (d *DiscoveryServer) RewriteEndpoints(rewrite func(server int, endpoint string) (string, error)) error {
+	d.list.mu.Lock()
+	history := d.list.history
+	d.list.mu.Unlock()
+	overrides := map[string]string{}
 	for _, e := range history {
-		at := e.endpoints[f.zone]
-		if reached[at] == "" {
+		endpoint := e.endpoints[d.zone]
+		if overrides[endpoint] == "" {
 			var err error
-			if reached[at], err = way(e.serverNumber, at); err != nil {
+			if overrides[endpoint], err = rewrite(e.serverNumber, endpoint); err != nil {
 				return err
 			}
 		}
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.endpointOverrides = reached
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.endpointOverrides = overrides
 	return nil
 }
 
-// RequestCount tells how many calls have come.
-func (f *DiscoveryServer) RequestCount() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.requestCount
+// RequestCount returns the number of requests received so far.
+func (d *DiscoveryServer) RequestCount() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.requestCount
 }
 
-// MoveAddress has it listen at another address; the old one takes no new connection and closes its open ones after a while.
-func (f *DiscoveryServer) MoveAddress(after time.Duration) error {
-	f.mu.Lock()
-	old := f.httpServer
-	f.mu.Unlock()
-	if err := f.listen("127.0.0.1:0"); err != nil {
+// MoveAddress makes the server listen at another address. The old address refuses new connections at once, and its open
+// connections are closed after closeTimeout at the latest.
+func (d *DiscoveryServer) MoveAddress(closeTimeout time.Duration) error {
+	d.mu.Lock()
+	oldServer := d.httpServer
+	d.mu.Unlock()
+	if err := d.listen("127.0.0.1:0"); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), after)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	go func() {
 		defer cancel()
-		if old.Shutdown(ctx) != nil {
-			_ = old.Close()
+		if oldServer.Shutdown(ctx) != nil {
+			_ = oldServer.Close()
 		}
 	}()
 	return nil
 }
 
-// Close ends it.
-func (f *DiscoveryServer) Close() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	_ = f.httpServer.Close()
+// Close closes the listener and all connections.
+func (d *DiscoveryServer) Close() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	_ = d.httpServer.Close()
 }
 
-// SilenceOpenRequests has it never answer the calls that are out now: open watches fall silent.
-func (f *DiscoveryServer) SilenceOpenRequests() {
-	f.update(func() { f.lastUnanswered = f.requestCount })
+// SilenceOpenRequests makes the server never answer the requests that have arrived so far, including the open long polls.
+func (d *DiscoveryServer) SilenceOpenRequests() {
+	d.update(func() { d.lastUnanswered = d.requestCount })
 }
 
-// SetDelay has it tell changes that much later; Freeze has it tell no change at all, Break has it answer 503 ("down"),
-// garbage ("garbage"), nothing to whoever calls ("silent"), or these words; "" mends it.
-func (f *DiscoveryServer) SetDelay(by Micros) { f.update(func() { f.delay = by }) }
+// SetDelay makes the server show changes of the list with a delay.
+func (d *DiscoveryServer) SetDelay(delay Micros) { d.update(func() { d.delay = delay }) }
 
-func (f *DiscoveryServer) SetFrozen(on bool) {
-	f.update(func() {
-		f.frozenRev = 0
-		if on {
-			f.frozenRev = f.visibleRev()
+// SetFrozen makes the server keep showing the present version of the list, or the newest one again.
+func (d *DiscoveryServer) SetFrozen(frozen bool) {
+	d.update(func() {
+		d.frozenRev = 0
+		if frozen {
+			d.frozenRev = d.visibleRev()
 		}
 	})
 }
 
-func (f *DiscoveryServer) SetFailure(how string) { f.update(func() { f.failure = how }) }
-
-func (f *DiscoveryServer) update(how func()) {
-	f.list.mu.Lock()
-	defer f.list.mu.Unlock()
-	f.mu.Lock()
-	how()
-	f.mu.Unlock()
-	f.list.notifyChange()
+// SetFailure makes the server fail: "down" answers with status 503, "garbage" with a malformed body, "silent" leaves requests
+// unanswered, and another text is the body of each answer. "" ends the failure.
+func (d *DiscoveryServer) SetFailure(failure string) { d.update(func() { d.failure = failure }) }
+
+// update calls change with the locks held and wakes waiting requests.
+func (d *DiscoveryServer) update(change func()) {
+	d.list.mu.Lock()
+	defer d.list.mu.Unlock()
+	d.mu.Lock()
+	change()
+	d.mu.Unlock()
+	d.list.notifyChange()
 }
 
-// visibleRev is the newest version that it tells now. The list's lock is held.
-func (f *DiscoveryServer) visibleRev() int64 {
-	if f.frozenRev > 0 {
-		return f.frozenRev
+// visibleRev returns the newest version that the server shows now. Its lock and the list's are held.
+func (d *DiscoveryServer) visibleRev() int64 {
+	if d.frozenRev > 0 {
+		return d.frozenRev
 	}
-	now, rev := f.list.eventLog.Now(), int64(len(f.list.history))
-	for rev > 0 && f.list.history[rev-1].changedAt+f.delay > now {
+	now, rev := d.list.eventLog.Now(), int64(len(d.list.history))
+	for rev > 0 && d.list.history[rev-1].changedAt+d.delay > now {
 		rev--
 	}
 	return rev
 }
 
-// untilNextRev is when a change becomes visible that is not yet. The list's lock is held.
-func (f *DiscoveryServer) untilNextRev(rev int64) time.Duration {
-	if f.frozenRev > 0 || rev >= int64(len(f.list.history)) {
+// untilNextRev returns how long it takes until a version newer than rev becomes visible, or an hour if there is none yet. The
+// server's lock and the list's are held.
+func (d *DiscoveryServer) untilNextRev(rev int64) time.Duration {
+	if d.frozenRev > 0 || rev >= int64(len(d.list.history)) {
 		return time.Hour
 	}
-	return max(0, f.list.history[rev].changedAt+f.delay-f.list.eventLog.Now()).Duration() + time.Millisecond
+	return max(0, d.list.history[rev].changedAt+d.delay-d.list.eventLog.Now()).Duration() + time.Millisecond
 }
 
-// ServeHTTP answers GET /v1/servers.
-func (f *DiscoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
-	whole := err != nil
-	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	late := time.After(time.Duration(hold) * time.Millisecond)
-	f.mu.Lock()
-	f.requestCount++
-	number := f.requestCount
-	f.mu.Unlock()
-	f.list.mu.Lock()
+// ServeHTTP answers GET /v1/servers with the whole list, or, if the request has from, with the changes since that version; without any
+// it waits for one, up to hold_ms milliseconds.
+func (d *DiscoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	fromRev, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
+	full := err != nil
+	holdMS, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
+	holdExpired := time.After(time.Duration(holdMS) * time.Millisecond)
+	d.mu.Lock()
+	d.requestCount++
+	requestNumber := d.requestCount
+	d.mu.Unlock()
+	d.list.mu.Lock()
 wait:
 	for {
-		f.mu.Lock()
-		rev, broken, next := f.visibleRev(), f.failure, f.untilNextRev(f.visibleRev())
-		f.mu.Unlock()
-		if whole || rev > from || broken != "" {
+		d.mu.Lock()
+		rev, failure, untilNext := d.visibleRev(), d.failure, d.untilNextRev(d.visibleRev())
+		d.mu.Unlock()
+		if full || rev > fromRev || failure != "" {
 			break
 		}
-		changed := f.list.changed
-		f.list.mu.Unlock()
+		changed := d.list.changed
+		d.list.mu.Unlock()
 		select {
 		case <-changed:
-		case <-time.After(next):
-		case <-late:
-			f.list.mu.Lock()
+		case <-time.After(untilNext):
+		case <-holdExpired:
+			d.list.mu.Lock()
 			break wait
 		case <-r.Context().Done():
 			return
 		}
-		f.list.mu.Lock()
+		d.list.mu.Lock()
 	}
-	f.mu.Lock()
-	rev, broken, hushed := f.visibleRev(), f.failure, number <= f.lastUnanswered
-	f.mu.Unlock()
-	history := f.list.history[:rev]
-	f.list.mu.Unlock()
-	if hushed || broken == "silent" {
+	d.mu.Lock()
+	rev, failure, silenced := d.visibleRev(), d.failure, requestNumber <= d.lastUnanswered
+	d.mu.Unlock()
+	history := d.list.history[:rev]
+	d.list.mu.Unlock()
+	if silenced || failure == "silent" {
 		<-r.Context().Done()
 		return
 	}
-	switch broken {
+	switch failure {
 	case "":
 	case "garbage":
 		_, _ = w.Write([]byte(malformedAnswers[rand.IntN(len(malformedAnswers))]))
@@ -281,18 +294,19 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	default:
-		_, _ = w.Write([]byte(broken))
+		_, _ = w.Write([]byte(failure))
 		return
 	}
-	f.writeAnswer(w, history, from, whole)
+	d.writeAnswer(w, history, fromRev, full)
 }
 
-func (f *DiscoveryServer) writeAnswer(w http.ResponseWriter, history []listEntry, from int64, whole bool) {
+// writeAnswer sends the whole list, or the entries newer than fromRev, and records each state that this proxy had not been sent.
+func (d *DiscoveryServer) writeAnswer(w http.ResponseWriter, history []listEntry, fromRev int64, full bool) {
 	answer := struct {
 		Rev     int64       `json:"rev"`
 		All     bool        `json:"all"`
 		Targets []listEntry `json:"targets"`
-	}{int64(len(history)), whole, []listEntry{}}
+	}{int64(len(history)), full, []listEntry{}}
 	latest := map[int]listEntry{}
 	var order []int
 	for _, e := range history {
@@ -301,31 +315,31 @@
 		}
 		latest[e.serverNumber] = e
 	}
-	for _, id := range order {
-		e := latest[id]
-		if whole && e.state == stateGone || !whole && e.rev <= from {
+	for _, number := range order {
+		e := latest[number]
+		if full && e.state == stateGone || !full && e.rev <= fromRev {
 			continue
 		}
-		e.Endpoint, e.State = e.endpoints[f.zone], stateNames[e.state]
-		f.mu.Lock()
-		e.Endpoint = cmp.Or(f.endpointOverrides[e.Endpoint], e.Endpoint)
-		f.mu.Unlock()
+		e.Endpoint, e.State = e.endpoints[d.zone], stateNames[e.state]
+		d.mu.Lock()
+		e.Endpoint = cmp.Or(d.endpointOverrides[e.Endpoint], e.Endpoint)
+		d.mu.Unlock()
 		answer.Targets = append(answer.Targets, e)
 	}
 	if json.NewEncoder(w).Encode(answer) != nil {
 		return
 	}
-	if flush, can := w.(http.Flusher); can {
-		flush.Flush()
+	if flusher, ok := w.(http.Flusher); ok {
+		flusher.Flush()
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, id := range order {
-		e := latest[id]
-		if !whole && e.rev <= from || f.sentRevs[id] >= e.rev {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, number := range order {
+		e := latest[number]
+		if !full && e.rev <= fromRev || d.sentRevs[number] >= e.rev {
 			continue
 		}
-		f.sentRevs[id] = e.rev
-		f.list.eventLog.Record(ledger.Event{Kind: ledger.StateAnnounced, Proxy: f.proxy, Server: id, Product: ledger.None, Value: int64(e.state)})
+		d.sentRevs[number] = e.rev
+		d.list.eventLog.Record(ledger.Event{Kind: ledger.StateAnnounced, Proxy: d.proxy, Server: number, Product: ledger.None, Value: int64(e.state)})
 	}
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -13,40 +13,40 @@
 	"hatchproxy/lab/ledger"
 )
 
-// MachineKind is a kind of machine.
+// MachineKind describes servers that have the same kind of machine.
 type MachineKind struct {
 	Name        string
-	Share       float64 // of the servers, beside the other kinds' shares
+	Share       float64 // of the servers, relative to the other kinds' shares
 	Cores       int
-	Speed       float64 // of a core
-	SpeedSpread float64 // by which servers of a kind differ, as a share
+	Speed       float64 // of a core; the work of requests is given for speed 1
+	SpeedSpread float64 // the speed of a server differs from Speed by up to this share, either way
 }
 
-// Config is what a fleet is made of.
+// Config describes a fleet and its discovery service.
 type Config struct {
 	ServerCount         int
 	Zones               []string
-	InterZoneDelay      Micros // one way between two zones
+	InterZoneDelay      Micros // one-way delay between two zones
 	MachineKinds        []MachineKind
-	CellSize            int
-	SetUpWork           Micros // work of a set-up, on average
-	ProbeWork           Micros // work of a probe
-	ConnLoad            Micros // a connection's work in a second, on average
-	LoadSpread          float64
-	LoadChangeInterval  Micros  // how long a load stays, on average; 0 for ever
-	GroupCost           float64 // mean loads that each server pays for each group
-	MaxConnsPerCore     int     // a core's
-	MaxQueuePerCore     int     // a core's
-	MessageTime         Micros  // what a message takes on an idle core of speed 1
+	CellSize            int     // servers per cell; 0 for a single cell
+	SetUpWork           Micros  // mean work of a connection's set-up
+	ProbeWork           Micros  // work of a probe
+	ConnLoad            Micros  // mean work per second of an established connection
+	LoadSpread          float64 // sigma of the lognormal distribution of connections' loads
+	LoadChangeInterval  Micros  // mean time between changes of a connection's load; 0 for no change
+	GroupCost           float64 // load of each group that has connections at a server, in multiples of ConnLoad
+	MaxConnsPerCore     int     // connections and queued set-ups; 0 for no limit
+	MaxQueuePerCore     int     // set-ups in progress; 0 for no limit
+	MessageTime         Micros  // answer time of a message on an idle server of speed 1
 	ColdStart           ColdStart
-	DiscoveryDelay      Micros // how late discovery tells
-	WeightMode          string // "none", "nominal" or "rough"
-	ReportsLoad         bool
-	AnswersProbes       bool
-	MovesClientsOnDrain bool // a draining server says MOVE to those that stand there
+	DiscoveryDelay      Micros // how late discovery shows changes
+	WeightMode          string // of the weights on the list: "none" for 1, "nominal" for the capacity, "rough" for it with an error of up to 30%
+	ReportsLoad         bool   // servers send LOAD lines
+	AnswersProbes       bool   // servers answer PING and STATS
+	MovesClientsOnDrain bool   // a draining server sends MOVE to its clients
 }
 
-// Fleet is the servers and the list of them.
+// Fleet is a set of stand-in servers, with the list of them and its discovery servers.
 type Fleet struct {
 	Config           Config
 	Servers          []*Server
@@ -56,14 +56,14 @@
 	rng              *rand.Rand
 	stop             chan struct{}
 	background       sync.WaitGroup
-	restoreAddresses map[string]func()
+	restoreAddresses map[string]func() // by the UID of a vanished server: frees its addresses
 }
 
-// Start builds a fleet; the same seed gives the same.
-func Start(book *ledger.EventLog, plan Config, seed uint64) (*Fleet, error) {
-	f := &Fleet{Config: plan, List: NewServerList(book), eventLog: book, rng: rand.New(rand.NewPCG(seed, 0xf1ee7)),
+// Start starts the servers of a fleet, all of them warm and on the list. The same seed gives the same servers.
+func Start(eventLog *ledger.EventLog, config Config, seed uint64) (*Fleet, error) {
+	f := &Fleet{Config: config, List: NewServerList(eventLog), eventLog: eventLog, rng: rand.New(rand.NewPCG(seed, 0xf1ee7)),
 		stop: make(chan struct{}), restoreAddresses: map[string]func(){}}
-	for i := range plan.ServerCount {
+	for i := range config.ServerCount {
 		s, err := f.newServer(i)
 		if err != nil {
 			f.Stop()
@@ -79,37 +79,39 @@
 	return f, nil
 }
 
-// machineKind deals the kinds out by their shares, evenly over the numbers, so that small fleets have each.
-func (p Config) machineKind(server int) MachineKind {
+// machineKind returns the machine kind of a server. The kinds are spread evenly over the server numbers, by multiples of the golden
+// ratio and in proportion to their shares, so that small fleets have each kind, too.
+func (c Config) machineKind(server int) MachineKind {
 	total := 0.0
-	for _, k := range p.MachineKinds {
+	for _, k := range c.MachineKinds {
 		total += k.Share
 	}
 	x := math.Mod(float64(server)*0.6180339887498949+0.5, 1) * total
-	for _, k := range p.MachineKinds {
+	for _, k := range c.MachineKinds {
 		if x -= k.Share; x < 0 {
 			return k
 		}
 	}
-	return p.MachineKinds[len(p.MachineKinds)-1]
+	return c.MachineKinds[len(c.MachineKinds)-1]
 }
 
+// newServer makes the server of a number and starts its listeners.
 func (f *Fleet) newServer(i int) (*Server, error) {
-	p, rng := f.Config, rand.New(rand.NewPCG(f.rng.Uint64(), uint64(i)))
-	kind := p.machineKind(i)
+	config, rng := f.Config, rand.New(rand.NewPCG(f.rng.Uint64(), uint64(i)))
+	kind := config.machineKind(i)
 	m := NewMachine(kind.Cores, kind.Speed*(1+kind.SpeedSpread*(2*rng.Float64()-1)))
-	m.MaxConns, m.MaxQueuedSetUps = unlimitedIfZero(p.MaxConnsPerCore*kind.Cores), unlimitedIfZero(p.MaxQueuePerCore*kind.Cores)
-	m.GroupCost, m.BaseMessageTime, m.ColdStart = p.GroupCost*float64(p.ConnLoad), p.MessageTime, p.ColdStart
+	m.MaxConns, m.MaxQueuedSetUps = unlimitedIfZero(config.MaxConnsPerCore*kind.Cores), unlimitedIfZero(config.MaxQueuePerCore*kind.Cores)
+	m.GroupCost, m.BaseMessageTime, m.ColdStart = config.GroupCost*float64(config.ConnLoad), config.MessageTime, config.ColdStart
 	s := &Server{
-		Number: i, UID: fmt.Sprintf("s%03d", i), Zone: i % len(p.Zones), Kind: kind.Name, eventLog: f.eventLog,
-		reportsLoad: p.ReportsLoad, answersProbes: p.AnswersProbes, setUpWork: float64(p.SetUpWork), probeWork: float64(p.ProbeWork), loadChangeInterval: p.LoadChangeInterval,
+		Number: i, UID: fmt.Sprintf("s%03d", i), Zone: i % len(config.Zones), Kind: kind.Name, eventLog: f.eventLog,
+		reportsLoad: config.ReportsLoad, answersProbes: config.AnswersProbes, setUpWork: float64(config.SetUpWork), probeWork: float64(config.ProbeWork), loadChangeInterval: config.LoadChangeInterval,
 		machine: m, rng: rng, conns: map[*conn]bool{},
-		// Lognormal about the mean.
+		// Lognormal, with ConnLoad as the mean.
 		drawLoad: func(rng *rand.Rand) float64 {
-			return float64(p.ConnLoad) * math.Exp(p.LoadSpread*rng.NormFloat64()-p.LoadSpread*p.LoadSpread/2)
+			return float64(config.ConnLoad) * math.Exp(config.LoadSpread*rng.NormFloat64()-config.LoadSpread*config.LoadSpread/2)
 		},
 	}
-	switch size := float64(m.Cores) * m.Speed; p.WeightMode {
+	switch size := float64(m.Cores) * m.Speed; config.WeightMode {
 	case "nominal":
 		s.weight = size
 	case "rough":
@@ -117,16 +119,17 @@
 	default:
 		s.weight = 1
 	}
-	for zone := range p.Zones {
-		way := Micros(0)
+	for zone := range config.Zones {
+		delay := Micros(0)
 		if zone != s.Zone {
-			way = p.InterZoneDelay
+			delay = config.InterZoneDelay
 		}
-		s.zoneDelays = append(s.zoneDelays, way)
+		s.zoneDelays = append(s.zoneDelays, delay)
 	}
 	return s, s.listen()
 }
 
+// unlimitedIfZero returns a limit, or a practically infinite one in place of 0.
 func unlimitedIfZero(n int) int {
 	if n <= 0 {
 		return math.MaxInt32
@@ -134,20 +137,22 @@
 	return n
 }
 
-// publishState puts a server's state on the list. The server's lock is held, or nobody else is there yet.
-func (f *Fleet) publishState(i int, st serverState) { f.publish(i, st, false) }
+// publishState puts the state of a server on the list. The server's lock is held.
+func (f *Fleet) publishState(i int, state serverState) { f.publish(i, state, false) }
 
-func (f *Fleet) publish(i int, st serverState, old bool) {
+// publish puts the state of a server on the list. The server's lock is held, or the fleet isn't shared yet.
+func (f *Fleet) publish(i int, state serverState, listedBeforeRun bool) {
 	s := f.Servers[i]
-	boot := int64(0)
+	startedAtMS := int64(0)
 	if s.machine.startedAt >= 0 {
-		boot = f.eventLog.WallTime(s.machine.startedAt).UnixMilli()
+		startedAtMS = f.eventLog.WallTime(s.machine.startedAt).UnixMilli()
 	}
-	f.List.set(listEntry{UID: s.UID, AZ: f.Config.Zones[s.Zone], Model: s.Kind, PodGroup: f.Cell(i), Weight: s.weight, BootMS: boot,
-		serverNumber: i, state: st, endpoints: s.addresses, listedBeforeRun: old})
+	f.List.set(listEntry{UID: s.UID, AZ: f.Config.Zones[s.Zone], Model: s.Kind, PodGroup: f.Cell(i), Weight: s.weight, BootMS: startedAtMS,
+		serverNumber: i, state: state, endpoints: s.addresses, listedBeforeRun: listedBeforeRun})
 }
 
-// Cell is the group of servers that drops a stamped product's repeats.
+// Cell returns the cell of a server, which is the pod group on the list: a group of servers that together detect repeats of a stamped
+// product's requests.
 func (f *Fleet) Cell(i int) int {
 	if f.Config.CellSize <= 0 {
 		return 0
@@ -155,37 +160,40 @@
 	return i / f.Config.CellSize
 }
 
-// Positions are where the servers stand, for the judge.
+// Positions returns the zones and cells of the servers, as ledger.Parameters needs them.
 func (f *Fleet) Positions() []ledger.ServerLocation {
-	places := make([]ledger.ServerLocation, len(f.Servers))
+	locations := make([]ledger.ServerLocation, len(f.Servers))
 	for i, s := range f.Servers {
-		places[i] = ledger.ServerLocation{Zone: s.Zone, Cell: f.Cell(i)}
+		locations[i] = ledger.ServerLocation{Zone: s.Zone, Cell: f.Cell(i)}
 	}
-	return places
+	return locations
 }
 
-// StartDiscovery opens a discovery for a proxy of a zone.
+// StartDiscovery starts a discovery server for a proxy in a zone, on a loopback address.
 func (f *Fleet) StartDiscovery(proxy, zone int) (*DiscoveryServer, error) {
 	return f.addDiscovery(f.List.StartDiscovery(proxy, zone))
 }
 
-// StartDiscoveryAt opens one at an address, for the first zone.
+// StartDiscoveryAt starts a discovery server for a proxy in the first zone, at the given address.
 func (f *Fleet) StartDiscoveryAt(address string) (*DiscoveryServer, error) {
 	return f.addDiscovery(f.List.startDiscoveryAt(address, 0, 0))
 }
 
-func (f *Fleet) addDiscovery(front *DiscoveryServer, err error) (*DiscoveryServer, error) {
+// addDiscovery adds a started discovery server to the fleet, unless it has failed to start.
+func (f *Fleet) addDiscovery(discovery *DiscoveryServer, err error) (*DiscoveryServer, error) {
 	if err != nil {
 		return nil, err
 	}
-	front.delay = f.Config.DiscoveryDelay
-	f.discoveryServers = append(f.discoveryServers, front)
-	return front, nil
+	discovery.delay = f.Config.DiscoveryDelay
+	f.discoveryServers = append(f.discoveryServers, discovery)
+	return discovery, nil
 }
 
-// overloadCheckInterval is how often servers are looked at: a thirtieth of the shortest window in use.
+// overloadCheckInterval is the time between two checks of each server for overload. It is a thirtieth of the shortest overload window
+// in use.
 const overloadCheckInterval = 100 * time.Millisecond
 
+// checkOverload makes overloaded cold servers collapse, until the fleet is stopped.
 func (f *Fleet) checkOverload() {
 	defer f.background.Done()
 	t := time.NewTicker(overloadCheckInterval)
@@ -198,11 +206,11 @@
 		}
 		for i, s := range f.Servers {
 			s.mu.Lock()
-			times, tips := s.machine.CheckOverload(f.eventLog.Now())
-			if tips && !s.down {
+			ratio, collapses := s.machine.CheckOverload(f.eventLog.Now())
+			if collapses && !s.down {
 				s.collapsed = true
 				f.eventLog.Record(ledger.Event{Kind: ledger.ColdServerOverloaded, Server: i, Proxy: ledger.None, Product: ledger.None,
-					Note: fmt.Sprintf("%.1f times what it could do, for %s; %d stood there", times, f.Config.ColdStart.OverloadWindow, s.machine.established)})
+					Note: fmt.Sprintf("demand of %.1f times its capacity for %s; %d connections", ratio, f.Config.ColdStart.OverloadWindow, s.machine.established)})
 				f.crash(s)
 				f.publishState(i, stateGone)
 			}
@@ -211,7 +219,7 @@
 	}
 }
 
-// crash takes a server down at once. Its lock is held.
+// crash stops a server at once and resets its connections. Its lock is held.
 func (f *Fleet) crash(s *Server) {
 	s.down = true
 	s.closeListeners()
@@ -222,7 +230,7 @@
 	s.machine.startedAt = -1
 }
 
-// Stop ends all servers and fronts.
+// Stop stops all servers and discovery servers. It may be called more than once.
 func (f *Fleet) Stop() {
 	select {
 	case <-f.stop:
@@ -231,8 +239,8 @@
 	}
 	close(f.stop)
 	f.background.Wait()
-	for _, undo := range f.restoreAddresses {
-		undo()
+	for _, restore := range f.restoreAddresses {
+		restore()
 	}
 	for _, s := range f.Servers {
 		s.mu.Lock()
@@ -244,80 +252,82 @@
 		}
 		s.mu.Unlock()
 	}
-	for _, front := range f.discoveryServers {
-		front.Close()
+	for _, discovery := range f.discoveryServers {
+		discovery.Close()
 	}
 }
 
-// EstablishedCounts is how many connections stand at each server now.
+// EstablishedCounts returns the number of established connections of each server.
 func (f *Fleet) EstablishedCounts() []int {
-	n := make([]int, len(f.Servers))
+	counts := make([]int, len(f.Servers))
 	for i, s := range f.Servers {
 		s.mu.Lock()
-		n[i] = s.machine.established
+		counts[i] = s.machine.established
 		s.mu.Unlock()
 	}
-	return n
+	return counts
 }
 
-// CollapsedCount counts the servers that have tipped over.
+// CollapsedCount returns the number of servers that have collapsed under overload.
 func (f *Fleet) CollapsedCount() int {
-	n := 0
+	count := 0
 	for _, s := range f.Servers {
 		s.mu.Lock()
 		if s.collapsed {
-			n++
+			count++
 		}
 		s.mu.Unlock()
 	}
-	return n
+	return count
 }
 
-// RandomAddress is a server that the true list has as ready, by chance; for a zone.
+// RandomAddress returns the address, for a zone, of a random server that is up and not draining. After 64 draws without success it
+// returns the first server's.
 func (f *Fleet) RandomAddress(rng *rand.Rand, zone int) string {
 	for range 64 {
 		s := f.Servers[rng.IntN(len(f.Servers))]
 		s.mu.Lock()
-		ok := !s.down && !s.draining
+		available := !s.down && !s.draining
 		s.mu.Unlock()
-		if ok {
+		if available {
 			return s.addresses[zone]
 		}
 	}
 	return f.Servers[0].addresses[zone]
 }
 
-// full is the use up to which a policy that sees all fills a server; relieved is where it stops taking off one that is
-// fuller. Both are short of the knee, beyond which messages are late.
+// fullUtilization is the utilization up to which the placement with full knowledge fills a server, and rebalancedUtilization the one
+// at which it stops moving clients off a fuller server. Both are below backlogUtilization, above which messages are late.
 const (
 	fullUtilization       = 0.85
 	rebalancedUtilization = 0.75
 )
 
-// BestAddress is where a policy that sees the true state of all servers sends a connection: where the added work,
-// with what a new group costs there, weighs least, as use squared by capacity has it. False where all are full.
+// BestAddress returns the address, for a zone, of the server at which a placement that knows the true state of all servers puts a new
+// connection: where utilization times added load is lowest, since that is how the sum of utilization squared times capacity grows.
+// The added load includes the cost of a group that is new to the server. It returns false if all servers are full.
 func (f *Fleet) BestAddress(zone int, group uint64) (string, bool) {
 	var best *Server
-	least := math.Inf(1)
+	lowestCost := math.Inf(1)
 	now := f.eventLog.Now()
 	for _, s := range f.Servers {
 		s.mu.Lock()
 		m := s.machine
-		added := float64(f.Config.ConnLoad)
+		addedLoad := float64(f.Config.ConnLoad)
 		if group != 0 && m.groupSizes[group] == 0 {
-			added += m.GroupCost
+			addedLoad += m.GroupCost
 		}
-		use := (m.load + float64(len(m.setUpEnds))*float64(f.Config.ConnLoad) + m.GroupCost*float64(len(m.groupSizes)) + added) / m.Capacity(now)
+		utilization := (m.load + float64(len(m.setUpEnds))*float64(f.Config.ConnLoad) + m.GroupCost*float64(len(m.groupSizes)) + addedLoad) / m.Capacity(now)
 		if len(m.setUpEnds) > 0 {
-			use += float64(max(0, m.setUpEnds[len(m.setUpEnds)-1]-now)) / float64(ledger.Second)
+			utilization += float64(max(0, m.setUpEnds[len(m.setUpEnds)-1]-now)) / float64(ledger.Second)
 		}
 		if s.zoneDelays[zone] > 0 {
-			use += 0.02
+			utilization += 0.02
 		}
-		fit := !s.down && !s.draining && s.faults == (serverFaults{}) && m.established+len(m.setUpEnds) < m.MaxConns && use < fullUtilization
+		eligible := !s.down && !s.draining && s.faults == (serverFaults{}) && m.established+len(m.setUpEnds) < m.MaxConns && utilization < fullUtilization
 		s.mu.Unlock()
-		if weight := use * added; fit && weight < least {
-			best, least = s, weight
+		if cost := utilization * addedLoad; eligible && cost < lowestCost {
+			best, lowestCost = s, cost
 		}
 	}
 	if best == nil {
@@ -326,20 +336,21 @@
 	return best.addresses[zone], true
 }
 
-// Rebalance moves the heaviest connections off servers that are too full, as a policy that sees all would.
+// Rebalance sends MOVE to the clients with the highest loads at servers that are too full, and to all at servers that are draining or
+// mute, as a placement that knows the true state of all servers would.
 func (f *Fleet) Rebalance() {
 	now := f.eventLog.Now()
 	for _, s := range f.Servers {
 		s.mu.Lock()
 		if s.machine.Utilization(now) > fullUtilization || s.draining || s.faults.mute {
-			var standing []*conn
+			var established []*conn
 			for c := range s.conns {
 				if c.established {
-					standing = append(standing, c)
+					established = append(established, c)
 				}
 			}
-			slices.SortFunc(standing, func(a, b *conn) int { return cmp.Or(cmp.Compare(b.load, a.load), cmp.Compare(a.id, b.id)) })
-			for _, c := range standing {
+			slices.SortFunc(established, func(a, b *conn) int { return cmp.Or(cmp.Compare(b.load, a.load), cmp.Compare(a.id, b.id)) })
+			for _, c := range established {
 				if s.machine.Utilization(now) < rebalancedUtilization && !s.draining && !s.faults.mute {
 					break
 				}
@@ -350,23 +361,24 @@
 	}
 }
 
-// Addresses are all servers', for a zone.
+// Addresses returns the addresses of all servers for a zone, by server number.
 func (f *Fleet) Addresses(zone int) []string {
-	all := make([]string, len(f.Servers))
+	addresses := make([]string, len(f.Servers))
 	for i, s := range f.Servers {
-		all[i] = s.addresses[zone]
+		addresses[i] = s.addresses[zone]
 	}
-	return all
+	return addresses
 }
 
-// FirstAddress is always the same server.
+// FirstAddress returns the address of the first server for a zone.
 func (f *Fleet) FirstAddress(zone int) string { return f.Servers[0].addresses[zone] }
 
-var errUnknownTrouble = errors.New("there is no such trouble")
+// errUnknownTrouble means that a script has a kind that is not in TroubleKinds.
+var errUnknownTrouble = errors.New("unknown kind of trouble")
 
-// drawNumbers draws n different servers.
-func drawNumbers(rng *rand.Rand, servers, n int) []int {
-	chosen := rng.Perm(servers)[:min(n, servers)]
+// drawNumbers draws count different numbers below total, or all of them if there are fewer, in ascending order.
+func drawNumbers(rng *rand.Rand, total, count int) []int {
+	chosen := rng.Perm(total)[:min(count, total)]
 	slices.Sort(chosen)
 	return chosen
 }
--- a/lab/fleet/scripted.go
+++ b/lab/fleet/scripted.go
@@ -10,7 +10,7 @@
 	"hatchproxy/lab/ledger"
 )
 
-// ScriptedServer is a server that answers what a test says, and then echoes.
+// ScriptedServer is a server that answers requests as a test tells it, and then echoes what it receives. It answers probes.
 type ScriptedServer struct {
 	Address string
 
@@ -19,56 +19,58 @@
 	mu            sync.Mutex
 	firstLines    []string
 	probeCount    int
-	lastProbeConn net.Conn // where the last one came
+	lastProbeConn net.Conn // the connection of the last probe
 	conns         []net.Conn
 }
 
-// StartScriptedServer starts one. What answer returns for a first line is said; a word after UP or in its place ends the talk:
-// FIN, RESET, "UP MUTE" for one that says no more, NONE for silence at once. Nil stands for "UP puppet".
+// StartScriptedServer starts a server on a loopback address. It calls answer with the first line of a connection, line end
+// included, and sends the result, except for these words: FIN closes the connection, RESET resets it, and NONE sends nothing
+// and leaves it open. After "UP MUTE" the server sends no more. If answer is nil, the answer is "UP puppet".
 func StartScriptedServer(answer func(line string) string) (*ScriptedServer, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &ScriptedServer{Address: l.Addr().String(), answer: answer, listener: l}
+	s := &ScriptedServer{Address: l.Addr().String(), answer: answer, listener: l}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			p.mu.Lock()
-			p.conns = append(p.conns, c)
-			p.mu.Unlock()
-			go p.serve(c)
+			s.mu.Lock()
+			s.conns = append(s.conns, c)
+			s.mu.Unlock()
+			go s.serve(c)
 		}
 	}()
-	return p, nil
+	return s, nil
 }
 
-func (p *ScriptedServer) serve(c net.Conn) {
+// serve answers probes and the first line of a connection, and then echoes lines.
+func (s *ScriptedServer) serve(c net.Conn) {
 	r := bufio.NewReader(c)
 	line, err := r.ReadString('\n')
 	for err == nil && line == "PING\r\n" {
 		_, _ = c.Write([]byte("PONG\r\n"))
-		p.mu.Lock()
-		p.probeCount++
-		p.lastProbeConn = c
-		p.mu.Unlock()
+		s.mu.Lock()
+		s.probeCount++
+		s.lastProbeConn = c
+		s.mu.Unlock()
 		line, err = r.ReadString('\n')
 	}
 	if err != nil {
 		_ = c.Close()
 		return
 	}
-	p.mu.Lock()
-	p.firstLines = append(p.firstLines, strings.TrimSuffix(line, "\r\n"))
-	p.mu.Unlock()
-	word := "UP puppet"
-	if p.answer != nil {
-		word = p.answer(line)
+	s.mu.Lock()
+	s.firstLines = append(s.firstLines, strings.TrimSuffix(line, "\r\n"))
+	s.mu.Unlock()
+	answer := "UP puppet"
+	if s.answer != nil {
+		answer = s.answer(line)
 	}
-	switch word {
+	switch answer {
 	case "NONE":
 		return
 	case "FIN":
@@ -78,8 +80,8 @@
 		ResetConn(c)
 		return
 	}
-	_, _ = fmt.Fprintf(c, "%s\r\n", word)
-	if word == "UP MUTE" {
+	_, _ = fmt.Fprintf(c, "%s\r\n", answer)
+	if answer == "UP MUTE" {
 		return
 	}
 	for {
@@ -94,73 +96,75 @@
 	}
 }
 
-// FirstLines are the first lines that have come.
-func (p *ScriptedServer) FirstLines() []string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return append([]string(nil), p.firstLines...)
+// FirstLines returns the connections' first lines other than probes, in the order of their arrival and without line ends.
+func (s *ScriptedServer) FirstLines() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]string(nil), s.firstLines...)
 }
 
-// ProbeCount tells how many probes were answered; Prober is the connection on which the last one came.
-func (p *ScriptedServer) ProbeCount() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.probeCount
+// ProbeCount returns the number of answered probes.
+func (s *ScriptedServer) ProbeCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.probeCount
 }
 
-func (p *ScriptedServer) LastProbeConn() net.Conn {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.lastProbeConn
+// LastProbeConn returns the connection of the last probe, or nil.
+func (s *ScriptedServer) LastProbeConn() net.Conn {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.lastProbeConn
 }
 
-// ConnCount tells how many connections have come; Last is the one that came last.
-func (p *ScriptedServer) ConnCount() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return len(p.conns)
+// ConnCount returns the number of accepted connections.
+func (s *ScriptedServer) ConnCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.conns)
 }
 
-func (p *ScriptedServer) LastConn() net.Conn {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.conns[len(p.conns)-1]
+// LastConn returns the connection that was accepted last. It panics if there is none.
+func (s *ScriptedServer) LastConn() net.Conn {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.conns[len(s.conns)-1]
 }
 
-// CloseListener takes no more connections; those that stand go on.
-func (p *ScriptedServer) CloseListener() { _ = p.listener.Close() }
+// CloseListener makes the server refuse new connections; open connections stay.
+func (s *ScriptedServer) CloseListener() { _ = s.listener.Close() }
 
-// ResetConn ends a connection with a reset.
+// ResetConn closes a TCP connection with a reset.
 func ResetConn(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
 
-// ManualDiscovery is a list of servers that a test writes by hand, with the front at which it is asked.
+// ManualDiscovery is a discovery server whose list of servers a test writes itself.
 type ManualDiscovery struct {
 	*DiscoveryServer
 	serverNumbers map[string]int
 }
 
-// StartManualDiscovery opens an empty list.
+// StartManualDiscovery starts a discovery server with an empty list on a loopback address.
 func StartManualDiscovery() (*ManualDiscovery, error) {
 	list := NewServerList(ledger.NewEventLog())
-	front, err := list.StartDiscovery(0, 0)
-	return &ManualDiscovery{front, map[string]int{}}, err
+	discovery, err := list.StartDiscovery(0, 0)
+	return &ManualDiscovery{discovery, map[string]int{}}, err
 }
 
-// SetServer puts a server on the list, or changes it: ready, draining or gone.
-func (h *ManualDiscovery) SetServer(uid, endpoint, word string) {
-	number, known := h.serverNumbers[uid]
+// SetServer adds a server to the list or changes it. The state is "ready", "draining" or "gone".
+func (d *ManualDiscovery) SetServer(uid, endpoint, state string) {
+	number, known := d.serverNumbers[uid]
 	if !known {
-		number = len(h.serverNumbers)
-		h.serverNumbers[uid] = number
+		number = len(d.serverNumbers)
+		d.serverNumbers[uid] = number
 	}
 	e := listEntry{UID: uid, AZ: "a", Model: "m", Weight: 1, serverNumber: number, endpoints: []string{endpoint}}
-	for st, w := range stateNames {
-		if w == word {
-			e.state = serverState(st)
+	for value, name := range stateNames {
+		if name == state {
+			e.state = serverState(value)
 		}
 	}
-	h.list.set(e)
+	d.list.set(e)
 }
--- a/lab/fleet/server.go
+++ b/lab/fleet/server.go
@@ -16,64 +16,65 @@
 	"hatchproxy/lab/precisetimer"
 )
 
-// Server is a stand-in for one server: a listener for each zone, since the way differs, and a machine behind them.
+// Server is a stand-in for one server: a simulated machine behind one listener per zone, since the network delay depends on the zone
+// that a request comes from.
 type Server struct {
 	Number             int
 	UID                string
 	Zone               int
 	Kind               string
 	eventLog           *ledger.EventLog
-	zoneDelays         []Micros // one way, by the zone that it is asked from
-	reportsLoad        bool     // it tells connections' load
-	answersProbes      bool     // it answers probes
-	setUpWork          float64  // of a set-up
-	probeWork          float64  // of a probe
-	loadChangeInterval Micros   // how often a connection's load changes
-	drawLoad           func(*rand.Rand) float64
-	weight             float64 // as the list tells it
-
-	mu        sync.Mutex
+	zoneDelays         []Micros                 // one-way delay, by the zone that a request comes from
+	reportsLoad        bool                     // it sends LOAD lines
+	answersProbes      bool                     // it answers PING and STATS
+	setUpWork          float64                  // mean work of a set-up
+	probeWork          float64                  // work of a probe
+	loadChangeInterval Micros                   // mean time between changes of a connection's load; 0 for none
+	drawLoad           func(*rand.Rand) float64 // draws a connection's load
+	weight             float64                  // as the list shows it
+
+	mu        sync.Mutex // guards the fields below
 	machine   *Machine
 	rng       *rand.Rand
-	addresses []string
-	listeners []net.Listener
+	addresses []string       // by zone
+	listeners []net.Listener // by zone; none while it refuses connections
 	conns     map[*conn]bool
 	faults    serverFaults
-	collapsed bool
+	collapsed bool // it has collapsed under overload and stays down
 	down      bool
-	upCount   int
-	draining  bool // it drains, and says MOVE to who stands here
+	upCount   int // UP answers so far, for their texts
+	draining  bool
 }
 
-// serverFaults is what is wrong with a server now.
+// serverFaults are the faults that a server has now, by troubles.
 type serverFaults struct {
-	hang       bool    // lines are taken, and no UP comes
-	mute       bool    // silent halfway through a line
-	errorShare float64 // the share of lines that is answered ERR at once
-	resetShare float64 // the share of lines that is answered by a reset
-	vanished   bool    // the machine has vanished: it takes no packets
+	hang       bool    // it accepts requests and never answers UP
+	mute       bool    // it falls silent halfway through a line
+	errorShare float64 // share of requests that it answers with ERR at once
+	resetShare float64 // share of requests at which it resets the connection
+	vanished   bool    // it is unreachable, as if its machine had lost power
 }
 
-// conn is a connection at a server. Its fields are guarded by the server's lock.
+// conn is a server's end of a connection. Its fields are guarded by the server's lock.
 type conn struct {
 	net.Conn
 	server       *Server
 	zone         int
-	id           ledger.AttachmentID
+	id           ledger.AttachmentID // 0 before the request
 	established  bool
 	ended        bool
-	load         float64
-	group        uint64
-	lastReceived int64 // the client's last number
-	repliesSent  int64 // the own last number
+	load         float64 // work per second while established
+	group        uint64  // the request's group; 0 for none
+	lastReceived int64   // number of the client's last message
+	repliesSent  int64   // number of the last reply
 	lastReplyAt  Micros
-	unanswered   []int64 // the numbers that have no answer yet, in their order
-	silent       bool
+	unanswered   []int64 // numbers of the messages without a reply yet, ascending
+	silent       bool    // nothing is sent any more
 	timers       []*precisetimer.Timer
 }
 
-// listen starts the listeners: every zone's at an address of its own, so that an address can be told, taken away and
-// had again while others go on.
+// listen starts a listener for each zone. Each has a loopback IP address of its own, so that the server can close it and listen
+// at the same address again while other servers run.
 func (s *Server) listen() error {
 	for zone := range s.zoneDelays {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 10+zone, s.Number/200, 1+s.Number%200))
@@ -87,13 +88,14 @@
 	return nil
 }
 
-// listenAgain listens again where it did, unless it does already: troubles may overlap.
+// listenAgain listens at the same addresses again after closeListeners. It does nothing if the server listens already, since
+// troubles may overlap.
 func (s *Server) listenAgain() error {
 	if len(s.listeners) > 0 {
 		return nil
 	}
-	for zone, at := range s.addresses {
-		l, err := net.Listen("tcp", at)
+	for zone, address := range s.addresses {
+		l, err := net.Listen("tcp", address)
 		if err != nil {
 			return err
 		}
@@ -103,6 +105,7 @@
 	return nil
 }
 
+// closeListeners makes the server refuse new connections. Its lock is held.
 func (s *Server) closeListeners() {
 	for _, l := range s.listeners {
 		_ = l.Close()
@@ -110,27 +113,29 @@
 	s.listeners = nil
 }
 
+// accept serves the connections of a listener until it is closed.
 func (s *Server) accept(l net.Listener, zone int) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		k := &conn{Conn: c, server: s, zone: zone}
+		accepted := &conn{Conn: c, server: s, zone: zone}
 		s.mu.Lock()
-		s.conns[k] = true
+		s.conns[accepted] = true
 		s.mu.Unlock()
-		go k.serve()
+		go accepted.serve()
 	}
 }
 
-// afterDelay runs a call after a while, unless the connection is over by then. The server's lock is held.
-func (c *conn) afterDelay(wait Micros, call func()) {
-	c.timers = append(c.timers, precisetimer.RunAt(time.Now().Add(wait.Duration()), func() {
+// afterDelay calls callback after a delay, with the server's lock held, unless the connection has ended by then. The caller holds the
+// lock, too.
+func (c *conn) afterDelay(delay Micros, callback func()) {
+	c.timers = append(c.timers, precisetimer.RunAt(time.Now().Add(delay.Duration()), func() {
 		c.server.mu.Lock()
 		defer c.server.mu.Unlock()
 		if !c.ended {
-			call()
+			callback()
 		}
 	}))
 	if len(c.timers) > 16 {
@@ -138,7 +143,8 @@
 	}
 }
 
-// send sends a line at once, unless the server has fallen silent. A failure comes as the end of the connection.
+// send writes to the connection at once, unless the server is silent or unreachable. It ignores errors, which show as the
+// connection's end in serve.
 func (c *conn) send(line string) {
 	if c.silent || c.server.faults.vanished {
 		return
@@ -147,11 +153,12 @@
 	_, _ = c.Write([]byte(line))
 }
 
-func (c *conn) record(k ledger.Kind, value int64, note string) {
-	c.server.eventLog.Record(ledger.Event{Kind: k, ID: c.id, Server: c.server.Number, Proxy: ledger.None, Product: ledger.None, Value: value, Note: note})
+// record records an event of this connection.
+func (c *conn) record(kind ledger.Kind, value int64, note string) {
+	c.server.eventLog.Record(ledger.Event{Kind: kind, ID: c.id, Server: c.server.Number, Proxy: ledger.None, Product: ledger.None, Value: value, Note: note})
 }
 
-// end ends a connection from the server's side. The server's lock is held.
+// end closes the connection from the server's side, with a reset if asked to. The server's lock is held.
 func (c *conn) end(reset bool) {
 	if c.ended {
 		return
@@ -164,26 +171,27 @@
 		c.record(kind, 0, "")
 	}
 	c.release()
-	if t, tcp := c.Conn.(*net.TCPConn); tcp && reset {
-		_ = t.SetLinger(0)
+	if tcpConn, ok := c.Conn.(*net.TCPConn); ok && reset {
+		_ = tcpConn.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// moveClient says MOVE and ends the connection. The sending ends at once, the rest a second later: a reset for what the
-// other side still sends would overtake the word. The server's lock is held.
+// moveClient sends MOVE and ends the connection. It closes only the sending direction at once and the whole socket a second later:
+// if the other side still sent something, a closed socket would answer with a reset, which could overtake the MOVE. The server's
+// lock is held.
 func (c *conn) moveClient() {
 	c.record(ledger.ServerSentMove, 0, "")
 	c.send("MOVE\r\n")
 	c.record(ledger.ServerClosed, 0, "")
 	c.release()
-	if t, tcp := c.Conn.(*net.TCPConn); tcp {
-		_ = t.CloseWrite()
+	if tcpConn, ok := c.Conn.(*net.TCPConn); ok {
+		_ = tcpConn.CloseWrite()
 	}
 	time.AfterFunc(time.Second, func() { _ = c.Close() })
 }
 
-// release is where what a connection holds is given back. The server's lock is held.
+// release marks the connection as ended, stops its timers and removes it from the server and its machine. The server's lock is held.
 func (c *conn) release() {
 	c.ended = true
 	delete(c.server.conns, c)
@@ -196,7 +204,7 @@
 	}
 }
 
-// arrivalReader notes when the first byte of a line came.
+// arrivalReader is a connection that remembers when it last received bytes.
 type arrivalReader struct {
 	net.Conn
 	eventLog   *ledger.EventLog
@@ -211,11 +219,12 @@
 	return n, err
 }
 
+// serve reads and handles lines until the connection ends.
 func (c *conn) serve() {
-	watch := &arrivalReader{Conn: c.Conn, eventLog: c.server.eventLog}
-	in := bufio.NewReaderSize(watch, 512)
+	arrivals := &arrivalReader{Conn: c.Conn, eventLog: c.server.eventLog}
+	reader := bufio.NewReaderSize(arrivals, 512)
 	for {
-		line, err := readLine(in)
+		line, err := readLine(reader)
 		c.server.mu.Lock()
 		if err != nil {
 			c.peerClosed()
@@ -223,32 +232,32 @@
 			return
 		}
 		if !c.ended {
-			c.handleLine(line, watch.lastReadAt)
+			c.handleLine(line, arrivals.lastReadAt)
 		}
-		over := c.ended
+		ended := c.ended
 		c.server.mu.Unlock()
-		if over {
+		if ended {
 			return
 		}
 	}
 }
 
-// readLine reads a line of any length up to the protocol's 4096 bytes.
-func readLine(in *bufio.Reader) (string, error) {
-	var whole []byte
+// readLine reads a line of up to 4096 bytes, the protocol's limit, and returns it without its end.
+func readLine(reader *bufio.Reader) (string, error) {
+	var line []byte
 	for {
-		part, err := in.ReadSlice('\n')
-		whole = append(whole, part...)
+		part, err := reader.ReadSlice('\n')
+		line = append(line, part...)
 		if err == nil {
-			return string(bytes.TrimRight(whole, "\r\n")), nil
+			return string(bytes.TrimRight(line, "\r\n")), nil
 		}
-		if err != bufio.ErrBufferFull || len(whole) > 4096 {
+		if err != bufio.ErrBufferFull || len(line) > 4096 {
 			return "", err
 		}
 	}
 }
 
-// gone: the other side has ended it.
+// peerClosed ends the connection after the proxy has closed it or a line was too long. The server's lock is held.
 func (c *conn) peerClosed() {
 	if c.ended {
 		return
@@ -260,25 +269,27 @@
 	_ = c.Close()
 }
 
-func (c *conn) handleLine(line string, first Micros) {
+// handleLine handles a line that arrived at the given time. The server's lock is held.
+func (c *conn) handleLine(line string, arrivedAt Micros) {
 	s := c.server
 	switch {
 	case s.faults.vanished:
 	case c.established:
 		c.handleMessage(line)
 	case c.id != 0:
-		c.record(ledger.LineChanged, 0, "a line came before UP: "+line)
+		c.record(ledger.LineChanged, 0, "line received before UP: "+line)
 	case line == "PING" || line == "STATS":
 		c.answerProbe(line)
 	case strings.HasPrefix(line, "OPEN "):
-		c.handleOpen(line, first)
+		c.handleOpen(line, arrivedAt)
 	default:
 		c.send("SYNTAX\r\n")
-		s.eventLog.Record(ledger.Event{Kind: ledger.LineChanged, Server: s.Number, Proxy: ledger.None, Product: ledger.None, Note: "no such line: " + line})
+		s.eventLog.Record(ledger.Event{Kind: ledger.LineChanged, Server: s.Number, Proxy: ledger.None, Product: ledger.None, Note: "unknown line: " + line})
 		c.end(false)
 	}
 }
 
+// answerProbe answers a PING or STATS line. The server's lock is held.
 func (c *conn) answerProbe(line string) {
 	s := c.server
 	now := s.eventLog.Now()
@@ -297,9 +308,9 @@
 	c.afterDelay(done-now+2*s.zoneDelays[c.zone], func() { c.send(answer) })
 }
 
-// openParam finds a value in the list of an OPEN line.
-func openParam(list, name string) string {
-	for item := range strings.SplitSeq(list, ",") {
+// openParam returns the value of a parameter of an OPEN line, or "". The parameters have the form "name=value,name=value".
+func openParam(params, name string) string {
+	for item := range strings.SplitSeq(params, ",") {
 		if key, value, found := strings.Cut(item, "="); found && key == name {
 			return value
 		}
@@ -307,79 +318,81 @@
 	return ""
 }
 
-func (c *conn) handleOpen(line string, first Micros) {
+// handleOpen handles a request, an OPEN line that arrived at the given time. The server's lock is held.
+func (c *conn) handleOpen(line string, arrivedAt Micros) {
 	s := c.server
-	words := strings.Split(line, " ")
-	id, err := strconv.ParseUint(words[min(1, len(words)-1)], 16, 64)
-	if err != nil || len(words) != 4 {
-		s.eventLog.Record(ledger.Event{Kind: ledger.LineChanged, Server: s.Number, Proxy: ledger.None, Product: ledger.None, Note: "no such line: " + line})
+	fields := strings.Split(line, " ")
+	id, err := strconv.ParseUint(fields[min(1, len(fields)-1)], 16, 64)
+	if err != nil || len(fields) != 4 {
+		s.eventLog.Record(ledger.Event{Kind: ledger.LineChanged, Server: s.Number, Proxy: ledger.None, Product: ledger.None, Note: "malformed request: " + line})
 		c.end(false)
 		return
 	}
 	now := s.eventLog.Now()
 	c.id = ledger.AttachmentID(id)
-	s.eventLog.Record(ledger.Event{At: first, Kind: ledger.DispatchArrived, ID: c.id, Server: s.Number, Proxy: ledger.None, Product: ledger.None})
+	s.eventLog.Record(ledger.Event{At: arrivedAt, Kind: ledger.DispatchArrived, ID: c.id, Server: s.Number, Proxy: ledger.None, Product: ledger.None})
 	c.record(ledger.DispatchComplete, 0, "")
-	c.group, _ = strconv.ParseUint(openParam(words[3], "g"), 16, 64)
-	way := 2 * s.zoneDelays[c.zone]
+	c.group, _ = strconv.ParseUint(openParam(fields[3], "g"), 16, 64)
+	roundTrip := 2 * s.zoneDelays[c.zone]
 	switch x := s.rng.Float64(); {
 	case x < s.faults.resetShare:
 		c.end(true)
 		return
 	case x < s.faults.resetShare+s.faults.errorShare:
-		c.afterDelay(way, func() { c.answerAndEnd(ledger.ServerSentErr, "ERR") })
+		c.afterDelay(roundTrip, func() { c.answerAndEnd(ledger.ServerSentErr, "ERR") })
 		return
 	}
 	work := s.setUpWork * s.rng.ExpFloat64()
-	done, room := now, true
-	if carried := openParam(words[3], "at") != ""; !carried {
-		done, room = s.machine.QueueSetUp(now, work)
+	done, accepted := now, true
+	if carried := openParam(fields[3], "at") != ""; !carried {
+		done, accepted = s.machine.QueueSetUp(now, work)
 	}
-	if !room {
-		c.afterDelay(way, func() { c.answerAndEnd(ledger.ServerSentBusy, "BUSY") })
+	if !accepted {
+		c.afterDelay(roundTrip, func() { c.answerAndEnd(ledger.ServerSentBusy, "BUSY") })
 		return
 	}
 	if s.faults.hang {
 		return
 	}
-	// The way there, its answer, and the round that connecting takes.
-	c.afterDelay(done-now+2*way, c.establish)
+	// One round trip for the request and its answer, and one for connecting.
+	c.afterDelay(done-now+2*roundTrip, c.establish)
 }
 
-// answerAndEnd gives an answer that is no UP, and ends the connection.
-func (c *conn) answerAndEnd(k ledger.Kind, word string) {
+// answerAndEnd sends an answer other than UP, records it as the given kind and ends the connection. The server's lock is held.
+func (c *conn) answerAndEnd(kind ledger.Kind, answer string) {
 	if c.server.faults.vanished {
 		return
 	}
-	c.record(k, 0, "")
-	c.send(word + "\r\n")
+	c.record(kind, 0, "")
+	c.send(answer + "\r\n")
 	c.release()
 	_ = c.Close()
 }
 
+// establish executes the request, answers UP and makes the connection an established one. The server's lock is held.
 func (c *conn) establish() {
 	s := c.server
 	if s.faults.hang || s.faults.vanished {
 		return
 	}
 	s.upCount++
-	receipt := fmt.Sprintf("UP %s-%d", s.UID, s.upCount)
+	upLine := fmt.Sprintf("UP %s-%d", s.UID, s.upCount)
 	c.record(ledger.DispatchRan, 0, "")
 	if s.faults.mute {
-		c.send(receipt[:len(receipt)/2])
+		c.send(upLine[:len(upLine)/2])
 		return
 	}
-	c.record(ledger.ServerSentUp, 0, receipt)
+	c.record(ledger.ServerSentUp, 0, upLine)
 	c.established = true
 	c.load = s.drawLoad(s.rng)
 	s.machine.AddConn(c.load, c.group)
-	c.send(receipt + "\r\n")
+	c.send(upLine + "\r\n")
 	if s.reportsLoad {
 		c.reportLoad()
 	}
 }
 
-// reportLoad says what load the connection has, now and whenever it changes.
+// reportLoad sends the connection's load now and whenever it changes. The server's lock is held.
 func (c *conn) reportLoad() {
 	c.send(fmt.Sprintf("LOAD %.0f\r\n", c.load))
 	if c.server.loadChangeInterval <= 0 {
@@ -393,10 +406,12 @@
 	})
 }
 
+// maxLineDelay is how long a line may take from the client; a longer delay is recorded.
 const maxLineDelay = ledger.Second
 
-// handleMessage takes a client's line "M n sent sum" and answers "R n m sent sum": its own count m shows lost and
-// doubled lines, the times held ones, the sums changed ones.
+// handleMessage handles a client's message "M n sent checksum". It answers "R n m sent checksum", where n is the message's number
+// and m that of the reply. The numbers reveal lost and duplicated lines, the times delayed ones and the checksums altered ones.
+// The server's lock is held.
 func (c *conn) handleMessage(line string) {
 	s := c.server
 	now := s.eventLog.Now()
@@ -423,13 +438,14 @@
 		}
 		return
 	}
-	at := max(now+s.machine.MessageTime(now)+2*s.zoneDelays[c.zone], c.lastReplyAt)
-	c.lastReplyAt = at
+	replyAt := max(now+s.machine.MessageTime(now)+2*s.zoneDelays[c.zone], c.lastReplyAt)
+	c.lastReplyAt = replyAt
 	c.unanswered = append(c.unanswered, n)
-	c.afterDelay(at-now, c.sendReply)
+	c.afterDelay(replyAt-now, c.sendReply)
 }
 
-// sendReply answers the oldest line: timers that are due at the same time run in any order.
+// sendReply replies to the oldest unanswered message. The message isn't bound to the timer because timers that are due at the same time
+// fire in any order. The server's lock is held.
 func (c *conn) sendReply() {
 	n := c.unanswered[0]
 	c.unanswered = c.unanswered[1:]
@@ -440,7 +456,7 @@
 	c.send(FormatLine("R", n, c.repliesSent, int64(c.server.eventLog.Now())))
 }
 
-// FormatLine makes a line of a verb and numbers, with a sum that shows whether it was changed.
+// FormatLine returns a line, with its end, of a verb, numbers and a CRC-32 checksum that shows whether the line was altered.
 func FormatLine(verb string, numbers ...int64) string {
 	text := verb
 	for _, n := range numbers {
@@ -449,7 +465,8 @@
 	return text + fmt.Sprintf(" %08x\r\n", crc32.ChecksumIEEE([]byte(text)))
 }
 
-// ParseClientLine reads a client's line.
+// ParseClientLine parses a client's line without its end: the message's number and the time when it was sent. It returns false if the
+// line has another form or a wrong checksum.
 func ParseClientLine(line, verb string) (n int64, sent Micros, ok bool) {
 	numbers, ok := ParseLine(line, verb, 2)
 	if !ok {
@@ -458,19 +475,20 @@
 	return numbers[0], Micros(numbers[1]), true
 }
 
-// ParseLine reads a sealed line of so many numbers.
+// ParseLine parses a line of FormatLine without its end, and returns its numbers. It returns false if the verb, the count of numbers
+// or the checksum is wrong.
 func ParseLine(line, verb string, count int) ([]int64, bool) {
-	at := strings.LastIndexByte(line, ' ')
-	if at < 0 || fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(line[:at]))) != line[at+1:] {
+	sumStart := strings.LastIndexByte(line, ' ')
+	if sumStart < 0 || fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(line[:sumStart]))) != line[sumStart+1:] {
 		return nil, false
 	}
-	words := strings.Split(line[:at], " ")
-	if len(words) != count+1 || words[0] != verb {
+	fields := strings.Split(line[:sumStart], " ")
+	if len(fields) != count+1 || fields[0] != verb {
 		return nil, false
 	}
 	numbers := make([]int64, count)
-	for i, word := range words[1:] {
-		n, err := strconv.ParseInt(word, 10, 64)
+	for i, field := range fields[1:] {
+		n, err := strconv.ParseInt(field, 10, 64)
 		if err != nil {
 			return nil, false
 		}
--- a/lab/fleet/trouble.go
+++ b/lab/fleet/trouble.go
@@ -11,149 +11,151 @@
 	"hatchproxy/lab/ledger"
 )
 
-// Trouble is a line of a script.
+// Trouble is an entry of a script: a disturbance with its time and targets.
 type Trouble struct {
-	Kind         string
+	Kind         string // one of TroubleKinds
 	At, Duration Micros
-	Share        float64 // the share of the servers (or proxies); 0 where Servers names them
-	Targets      []int
-	Size         float64 // how many times slower, what share of answers, how many seconds: as the kind has it
+	Share        float64 // share of the servers, or of what else the kind is about; unused if Targets is set
+	Targets      []int   // numbers of the servers, proxies, machines or sites; nil to draw them
+	Size         float64 // a factor, a share, a duration or the like, as TroubleKinds says
 }
 
-// ScheduledTrouble is a trouble whose servers have been drawn.
+// ScheduledTrouble is a trouble whose targets have been drawn.
 type ScheduledTrouble struct {
 	Trouble
-	ScriptIndex int // in the script
+	ScriptIndex int // the trouble's index in the script
 }
 
-// TroubleKinds are the troubles that there are, each with what its size means. Those of a list concern discovery, those of
-// a proxy are done by who runs the proxies.
+// TroubleKinds maps the kinds of trouble to their descriptions, in which SIZE stands for the trouble's Size. The kinds of servers
+// and those that begin with "list-", but for list-moved, are carried out by Fleet; the others by the program that runs the proxies
+// and agents.
 var TroubleKinds = map[string]string{
 	"slow":    "the servers are SIZE times slower",
-	"hang":    "the servers take lines and never say UP",
+	"hang":    "the servers accept requests and never answer UP",
 	"mute":    "the servers fall silent halfway through a line",
-	"errors":  "the servers answer a share SIZE of lines with ERR, at once",
-	"resets":  "the servers reset a share SIZE of connections at their line",
+	"errors":  "the servers answer a share SIZE of requests with ERR, at once",
+	"resets":  "the servers reset a share SIZE of connections when the request arrives",
 	"refuse":  "the servers refuse new connections",
-	"vanish":  "the servers take no packets at all; connections end by a reset when they are back",
-	"drop":    "the servers reset a share SIZE of the connections that stand there, once",
-	"restart": "the servers stop at once, and start cold when the time is over",
-	"drain":   "the servers drain for the time, then stop; they are back cold SIZE seconds later, 0 for never",
-	"store":   "each set-up takes SIZE milliseconds more, on all servers",
+	"vanish":  "the servers are unreachable; their connections are reset when the time is over",
+	"drop":    "the servers reset a share SIZE of their established connections, once",
+	"restart": "the servers crash, and start cold when the time is over",
+	"drain":   "the servers drain, and stop when the time is over; they start cold SIZE seconds later, or never if SIZE is 0",
+	"store":   "each set-up takes SIZE milliseconds longer, on all servers",
 
-	"list-late":    "discovery tells SIZE seconds later",
-	"list-frozen":  "discovery tells no change",
-	"list-down":    "discovery answers 503",
-	"list-garbage": "discovery answers garbage",
+	"list-late":    "discovery shows changes SIZE seconds later",
+	"list-frozen":  "discovery shows no changes",
+	"list-down":    "discovery answers with status 503",
+	"list-garbage": "discovery gives malformed answers",
 
-	"list-moved":   "discovery is at another address; the configuration names it, and the proxies get SIGHUP",
-	"proxy-stop":   "proxies are stopped, and go on when the time is over",
+	"list-moved":   "discovery moves to another address; the proxies' configuration is changed, and they get SIGHUP",
+	"proxy-stop":   "proxies are paused, and resume when the time is over",
 	"proxy-kill":   "proxies are killed, and start again when the time is over",
 	"proxy-leave":  "proxies get SIGTERM, and start again when the time is over",
-	"proxy-retire": "proxies get SIGTERM, further signals after it, and SIGKILL at the earliest that the protocol allows; they start again when both are over",
-	"proxy-series": "proxies get SIGHUP several times, with configurations that are torn, and whole at last",
-	"way-cut":      "nothing passes between proxies and the servers of a zone, whose number is SIZE, in silence",
-	"way-reset":    "all connections between proxies and the servers of a zone, whose number is SIZE, are reset, once",
+	"proxy-retire": "proxies get SIGTERM, further signals after it, and SIGKILL as early as the protocol allows; they start again when that and the time are over",
+	"proxy-series": "proxies get SIGHUP several times, with incomplete configuration files and at last a complete one",
+	"way-cut":      "the links between proxies and the servers of the zone with number SIZE silently drop everything",
+	"way-reset":    "all connections between proxies and the servers of the zone with number SIZE are reset, once",
 
-	"proxy-crowd": "SIZE idle connections at each proxy, which come again when they are closed",
+	"proxy-crowd": "SIZE idle connections are held to each proxy, and opened anew when they are closed",
 
-	"calls-accept":  "proxies' accepts fail, each with chance SIZE; likewise the kinds below",
-	"calls-socket":  "no socket is had",
-	"calls-connect": "connect finds no address or no way",
+	"calls-accept":  "calls of accept fail in proxies, each with probability SIZE, which the kinds below have, too",
+	"calls-socket":  "no socket can be created",
+	"calls-connect": "connect finds no free address or no route",
 	"calls-wait":    "waits are interrupted",
-	"calls-copy":    "no descriptor is duplicated",
-	"calls-control": "the poller takes no descriptor",
-	"calls-open":    "no file is opened",
-	"calls-read":    "reads of sockets bring a part",
-	"calls-write":   "writes of sockets take a part",
+	"calls-copy":    "no descriptor can be duplicated",
+	"calls-control": "no descriptor can be added to the poller",
+	"calls-open":    "no file can be opened",
+	"calls-read":    "reads from sockets are short",
+	"calls-write":   "writes to sockets are short",
 
-	"proxy-reload": "proxies get SIGHUP with a configuration that is the same",
+	"proxy-reload": "proxies get SIGHUP with an unchanged configuration",
 
-	"order-drain":     "the agents are told to have the servers drained, and to undo it when the time is over",
-	"rolling-restart": "all proxies are started anew by their agents, a share SIZE at a time",
-	"roll":            "the same, carried out by whoever holds that duty",
+	"order-drain":     "the agents are ordered to have the servers drained, and to end that when the time is over",
+	"rolling-restart": "all proxies are restarted by their agents, a share SIZE at a time",
+	"roll":            "the same, conducted by the agent that holds that duty",
 
-	"fault-cut":        "machines are cut off from all others, silently; they reach their servers",
-	"fault-one-way":    "machines hear the others, and none hears them",
-	"fault-deaf":       "the others hear machines that hear none",
-	"fault-reset":      "as fault-cut, and all connections between machines are broken off",
-	"fault-slow":       "all links between machines are 500 ms late, and a fifth of the pieces sent again",
-	"fault-flap":       "machines are cut off and back each 300 ms",
-	"fault-ring":       "each machine sees its two neighbours alone",
-	"fault-site-cut":   "sites are cut off from the others: machines, and their ways to the servers of other zones",
-	"fault-crash":      "machines crash with all that runs there, and are back when the time is over",
-	"fault-crash-all":  "all machines crash at once, and are back one by one over the time",
-	"fault-stall":      "machines stop with all that runs there, and go on",
-	"fault-disk-lost":  "machines crash, and are back with their disks empty",
-	"fault-disk-old":   "machines crash at the end, and are back with their disks as they were at the begin",
-	"fault-disk-full":  "nothing grows any more on the disks of machines' agents",
-	"fault-site-dark":  "all machines and servers of sites stop at once; the servers are back cold",
-	"fault-agent-dead": "machines' agents are killed and not their instances, and start again when the time is over",
-	"fault-sleep":      "machines' instances stop and not their agents, and go on",
-	"fault-doze":       "machines' agents stop and not their instances, and go on",
-	"fault-no-servers": "machines are cut off from all servers, and not from each other",
+	"fault-cut":        "machines are silently cut off from all others, but still reach their servers",
+	"fault-one-way":    "machines receive from the others, but nothing that they send arrives",
+	"fault-deaf":       "machines reach the others, but receive nothing",
+	"fault-reset":      "as fault-cut, and all connections between machines are reset",
+	"fault-slow":       "all links between machines have a delay of 500 ms and lose a fifth of the pieces, which TCP sends again",
+	"fault-flap":       "machines are cut off and reconnected in turn, every 300 ms",
+	"fault-ring":       "each machine reaches only its two neighbours",
+	"fault-site-cut":   "sites are cut off from the others: their machines, and the links of these to the servers of other zones",
+	"fault-crash":      "machines crash with all their processes, and start when the time is over",
+	"fault-crash-all":  "all machines crash at once, and start one by one during the time",
+	"fault-stall":      "machines are paused with all their processes, and resume when the time is over",
+	"fault-disk-lost":  "machines crash, and start with empty disks when the time is over",
+	"fault-disk-old":   "machines crash when the time is over, and start with their disks as they were when it began",
+	"fault-disk-full":  "the disks of machines' agents are full",
+	"fault-site-dark":  "all machines and servers of sites stop at once; the servers start cold when the time is over",
+	"fault-agent-dead": "machines' agents, but not their instances, are killed, and start again when the time is over",
+	"fault-sleep":      "machines' instances, but not their agents, are paused, and resume when the time is over",
+	"fault-doze":       "machines' agents, but not their instances, are paused, and resume when the time is over",
+	"fault-no-servers": "machines are cut off from all servers, but not from each other",
 }
 
-// IsProxyTrouble tells whether a kind is for who runs the proxies, and its numbers are theirs.
+// IsProxyTrouble reports whether a kind is carried out by the program that runs the proxies, and its targets are proxies.
 func IsProxyTrouble(kind string) bool {
 	return strings.HasPrefix(kind, "proxy-") || strings.HasPrefix(kind, "calls-") || strings.HasPrefix(kind, "way-") || kind == "list-moved"
 }
 
-// IsAgentTrouble tells whether a kind is for who speaks with the agents.
+// IsAgentTrouble reports whether a kind is carried out through the agents or on their machines.
 func IsAgentTrouble(kind string) bool {
 	return kind == "order-drain" || kind == "rolling-restart" || kind == "roll" || strings.HasPrefix(kind, "fault-")
 }
 
-// AffectsAll tells whether a kind is for all there are, and names none.
+// AffectsAll reports whether a kind concerns everything, so that no targets are drawn for it.
 func AffectsAll(kind string) bool {
 	return kind == "store" || kind == "rolling-restart" || kind == "roll" || kind == "fault-slow" || kind == "fault-ring" || kind == "fault-crash-all"
 }
 
-// Schedule draws the servers of a script, of as many as counts tells for its kind: the same seed gives the same steps, in the order of
-// time.
-func Schedule(script []Trouble, counts func(kind string) int, seed uint64) ([]ScheduledTrouble, error) {
+// Schedule draws the targets of a script's troubles and returns these in the order of their times. countFor returns how many targets
+// there are for a kind. The same seed gives the same targets. It fails on an unknown kind or a target that doesn't exist.
+func Schedule(script []Trouble, countFor func(kind string) int, seed uint64) ([]ScheduledTrouble, error) {
 	rng := rand.New(rand.NewPCG(seed, 0x7120b1e))
-	steps := make([]ScheduledTrouble, 0, len(script))
+	scheduled := make([]ScheduledTrouble, 0, len(script))
 	for i, t := range script {
 		if _, known := TroubleKinds[t.Kind]; !known {
 			return nil, fmt.Errorf("trouble %d: %w: %q", i+1, errUnknownTrouble, t.Kind)
 		}
-		of := counts(t.Kind)
+		targetCount := countFor(t.Kind)
 		switch {
 		case strings.HasPrefix(t.Kind, "fault-") && AffectsAll(t.Kind):
-			t.Targets = []int{0} // once, for all
+			t.Targets = []int{0} // one target, since the fault is made once for all machines
 		case t.Targets == nil && !AffectsAll(t.Kind):
-			t.Targets = drawNumbers(rng, of, int(math.Ceil(t.Share*float64(of)-1e-9)))
+			t.Targets = drawNumbers(rng, targetCount, int(math.Ceil(t.Share*float64(targetCount)-1e-9)))
 		}
 		for _, n := range t.Targets {
-			if n < 0 || n >= of {
-				return nil, fmt.Errorf("trouble %d: there is no number %d of %d", i+1, n, of)
+			if n < 0 || n >= targetCount {
+				return nil, fmt.Errorf("trouble %d: no target has the number %d; there are %d", i+1, n, targetCount)
 			}
 		}
-		steps = append(steps, ScheduledTrouble{t, i})
+		scheduled = append(scheduled, ScheduledTrouble{t, i})
 	}
-	slices.SortStableFunc(steps, func(a, b ScheduledTrouble) int { return int(a.At - b.At) })
-	return steps, nil
+	slices.SortStableFunc(scheduled, func(a, b ScheduledTrouble) int { return int(a.At - b.At) })
+	return scheduled, nil
 }
 
+// String describes the trouble for the event log.
 func (s ScheduledTrouble) String() string {
 	return fmt.Sprintf("%s (size %g) on %v for %s", s.Kind, s.Size, s.Targets, s.Duration)
 }
 
-// BeginTrouble lets a trouble begin.
+// BeginTrouble starts a trouble of servers or of discovery.
 func (f *Fleet) BeginTrouble(t ScheduledTrouble) error {
 	f.recordTrouble(t, "begins")
 	switch t.Kind {
 	case "store":
 		f.setStoreDelay(Micros(t.Size * float64(ledger.Millisecond)))
 	case "list-late":
-		f.eachDiscovery(func(front *DiscoveryServer) { front.SetDelay(f.Config.DiscoveryDelay + Micros(t.Size*1e6)) })
+		f.eachDiscovery(func(discovery *DiscoveryServer) { discovery.SetDelay(f.Config.DiscoveryDelay + Micros(t.Size*1e6)) })
 	case "list-frozen":
-		f.eachDiscovery(func(front *DiscoveryServer) { front.SetFrozen(true) })
+		f.eachDiscovery(func(discovery *DiscoveryServer) { discovery.SetFrozen(true) })
 	case "list-down":
-		f.eachDiscovery(func(front *DiscoveryServer) { front.SetFailure("down") })
+		f.eachDiscovery(func(discovery *DiscoveryServer) { discovery.SetFailure("down") })
 	case "list-garbage":
-		f.eachDiscovery(func(front *DiscoveryServer) { front.SetFailure("garbage") })
+		f.eachDiscovery(func(discovery *DiscoveryServer) { discovery.SetFailure("garbage") })
 	default:
 		for _, i := range t.Targets {
 			if err := f.beginServerTrouble(i, t); err != nil {
@@ -164,18 +166,18 @@
 	return nil
 }
 
-// EndTrouble ends it.
+// EndTrouble ends a trouble that BeginTrouble has started.
 func (f *Fleet) EndTrouble(t ScheduledTrouble) error {
 	f.recordTrouble(t, "ends")
 	switch t.Kind {
 	case "store":
 		f.setStoreDelay(0)
 	case "list-late":
-		f.eachDiscovery(func(front *DiscoveryServer) { front.SetDelay(f.Config.DiscoveryDelay) })
+		f.eachDiscovery(func(discovery *DiscoveryServer) { discovery.SetDelay(f.Config.DiscoveryDelay) })
 	case "list-frozen":
-		f.eachDiscovery(func(front *DiscoveryServer) { front.SetFrozen(false) })
+		f.eachDiscovery(func(discovery *DiscoveryServer) { discovery.SetFrozen(false) })
 	case "list-down", "list-garbage":
-		f.eachDiscovery(func(front *DiscoveryServer) { front.SetFailure("") })
+		f.eachDiscovery(func(discovery *DiscoveryServer) { discovery.SetFailure("") })
 	default:
 		for _, i := range t.Targets {
 			if err := f.endServerTrouble(i, t); err != nil {
@@ -186,24 +188,28 @@
 	return nil
 }
 
-func (f *Fleet) recordTrouble(t ScheduledTrouble, what string) {
-	f.eventLog.Record(ledger.Event{Kind: ledger.Trouble, Server: ledger.None, Proxy: ledger.None, Product: ledger.None, Note: t.String() + " " + what})
+// recordTrouble records that a trouble begins or ends.
+func (f *Fleet) recordTrouble(t ScheduledTrouble, phase string) {
+	f.eventLog.Record(ledger.Event{Kind: ledger.Trouble, Server: ledger.None, Proxy: ledger.None, Product: ledger.None, Note: t.String() + " " + phase})
 }
 
-func (f *Fleet) eachDiscovery(how func(*DiscoveryServer)) {
-	for _, front := range f.discoveryServers {
-		how(front)
+// eachDiscovery calls apply for each discovery server.
+func (f *Fleet) eachDiscovery(apply func(*DiscoveryServer)) {
+	for _, discovery := range f.discoveryServers {
+		apply(discovery)
 	}
 }
 
-func (f *Fleet) setStoreDelay(by Micros) {
+// setStoreDelay sets the time that a slow store adds to each set-up, on all servers.
+func (f *Fleet) setStoreDelay(delay Micros) {
 	for _, s := range f.Servers {
 		s.mu.Lock()
-		s.machine.storeDelay = by
+		s.machine.storeDelay = delay
 		s.mu.Unlock()
 	}
 }
 
+// beginServerTrouble starts a trouble at one server, unless the server is down.
 func (f *Fleet) beginServerTrouble(i int, t ScheduledTrouble) error {
 	s := f.Servers[i]
 	s.mu.Lock()
@@ -245,49 +251,51 @@
 	return nil
 }
 
-// moveClients has a draining server send its clients away bit by bit over a time. Its lock is held.
-func (f *Fleet) moveClients(s *Server, over Micros) {
+// moveClients makes a draining server send MOVE to its clients, spread over the first 80% of a period. Its lock is held.
+func (f *Fleet) moveClients(s *Server, period Micros) {
 	for c := range s.conns {
 		if !c.established {
 			continue
 		}
-		c.afterDelay(Micros(s.rng.Float64()*0.8*float64(over)), func() {
+		c.afterDelay(Micros(s.rng.Float64()*0.8*float64(period)), func() {
 			c.moveClient()
 		})
 	}
 }
 
+// vanish makes a server unreachable without closing its connections. Its lock is held.
 func (f *Fleet) vanish(s *Server) error {
 	s.faults.vanished = true
 	s.closeListeners()
 	for c := range s.conns {
 		if c.established && !c.silent {
 			c.silent = true
-			c.record(ledger.ServerSilent, 0, "its machine has vanished")
+			c.record(ledger.ServerSilent, 0, "the server is unreachable")
 		}
 	}
-	var undo []func()
-	for _, at := range s.addresses {
-		back, err := blackholeAddress(at)
+	var restores []func()
+	for _, address := range s.addresses {
+		restore, err := blackholeAddress(address)
 		if err != nil {
 			return err
 		}
-		undo = append(undo, back)
+		restores = append(restores, restore)
 	}
 	f.restoreAddresses[s.UID] = func() {
-		for _, back := range undo {
-			back()
+		for _, restore := range restores {
+			restore()
 		}
 	}
 	return nil
 }
 
+// endServerTrouble ends a trouble at one server. A server that has collapsed stays down.
 func (f *Fleet) endServerTrouble(i int, t ScheduledTrouble) error {
 	s := f.Servers[i]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.collapsed {
-		return nil // it stays down
+		return nil // a collapsed server stays down
 	}
 	switch t.Kind {
 	case "slow":
@@ -297,7 +305,7 @@
 	case "mute":
 		s.faults.mute = false
 		for c := range s.conns {
-			if c.silent { // the rest of its line is lost; who still stands here is cut
+			if c.silent { // the rest of the cut line was not sent, so the connection can't go on
 				c.end(true)
 			}
 		}
@@ -307,7 +315,7 @@
 		s.faults.resetShare = 0
 	case "refuse":
 		if s.down {
-			return nil // another trouble has stopped it
+			return nil // another trouble has stopped the server
 		}
 		return s.listenAgain()
 	case "vanish":
@@ -334,7 +342,7 @@
 				select {
 				case <-f.stop:
 				default:
-					_ = f.startCold(i) // an address that is gone leaves the server gone: the list says so
+					_ = f.startCold(i) // on an error, the server stays down and gone from the list
 				}
 			})
 		}
@@ -342,7 +350,7 @@
 	return nil
 }
 
-// startCold brings a server back, cold. Its lock is held.
+// startCold starts a stopped server, cold. Its lock is held.
 func (f *Fleet) startCold(i int) error {
 	s := f.Servers[i]
 	if err := s.listenAgain(); err != nil {
--- a/lab/precisetimer/precisetimer.go
+++ b/lab/precisetimer/precisetimer.go
@@ -1,6 +1,7 @@
-// Package beat runs calls at their time, to some tenths of a millisecond. The runtime's own timers are late by up to a
-// millisecond on an idle machine, since it sleeps in the kernel's poll, which counts whole ones: 5% of 20 ms. One thread
-// sleeps in short steps instead, only while something is due.
+// Package precisetimer runs functions at given times, to within some tenths of a millisecond. The timers of the Go runtime
+// are up to a millisecond late on an idle machine, because the runtime sleeps in the kernel's poll, whose timeout is in whole
+// milliseconds; that would be 5% of a measured time of 20 ms. This package sleeps in short steps on a thread of its own
+// instead, while any timer is pending.
 package precisetimer
 
 import (
@@ -11,41 +12,42 @@
 	"time"
 )
 
-// maxSleep is the longest sleep: what is newly due before the next one is late by that much at most. Five thousand wakes a
-// second cost some hundredths of a core.
+// maxSleep is the longest sleep between two looks at the pending timers, and so the most by which a timer is late that is set
+// during a sleep and due before its end. The 5000 wake-ups a second cost some hundredths of a core.
 const maxSleep = 200 * time.Microsecond
 
-// Timer is a call that waits for its time.
+// Timer is a function that is to be called at a given time.
 type Timer struct {
 	at        time.Time
 	callback  func()
-	heapIndex int // in the heap; -1 if it is there no more
+	heapIndex int // index in pending; -1 once it has been removed
 }
 
+// timerHeap is a container/heap of timers, the earliest first.
 type timerHeap []*Timer
 
-func (r timerHeap) Len() int           { return len(r) }
-func (r timerHeap) Less(i, j int) bool { return r[i].at.Before(r[j].at) }
-func (r timerHeap) Swap(i, j int)      { r[i], r[j] = r[j], r[i]; r[i].heapIndex, r[j].heapIndex = i, j }
-func (r *timerHeap) Push(x any)        { t := x.(*Timer); t.heapIndex = len(*r); *r = append(*r, t) }
-func (r *timerHeap) Pop() any {
-	last := len(*r) - 1
-	t := (*r)[last]
-	(*r)[last] = nil
-	*r = (*r)[:last]
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
+func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
+func (h *timerHeap) Push(x any)        { t := x.(*Timer); t.heapIndex = len(*h); *h = append(*h, t) }
+func (h *timerHeap) Pop() any {
+	last := len(*h) - 1
+	t := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
 	t.heapIndex = -1
 	return t
 }
 
 var (
-	mu      sync.Mutex
+	mu      sync.Mutex // guards pending and running
 	pending timerHeap
-	running bool
+	running bool // whether a goroutine is in runPending
 )
 
-// RunAt runs a call at a time, in a goroutine of its own.
-func RunAt(at time.Time, call func()) *Timer {
-	t := &Timer{at: at, callback: call}
+// RunAt calls callback at the given time, in a goroutine of its own. A time in the past is due at once.
+func RunAt(at time.Time, callback func()) *Timer {
+	t := &Timer{at: at, callback: callback}
 	mu.Lock()
 	defer mu.Unlock()
 	heap.Push(&pending, t)
@@ -56,7 +58,7 @@
 	return t
 }
 
-// Stop has a call not run, if it has not begun.
+// Stop prevents the callback from being called, if the timer has not fired yet.
 func (t *Timer) Stop() {
 	mu.Lock()
 	defer mu.Unlock()
@@ -65,15 +67,15 @@
 	}
 }
 
-// WaitUntil waits until a time, or until done is closed; false then.
+// WaitUntil blocks until the given time and returns true. It returns false if done is closed earlier.
 func WaitUntil(at time.Time, done <-chan struct{}) bool {
 	if time.Until(at) <= 0 {
 		return true
 	}
-	here := make(chan struct{})
-	t := RunAt(at, func() { close(here) })
+	reached := make(chan struct{})
+	t := RunAt(at, func() { close(reached) })
 	select {
-	case <-here:
+	case <-reached:
 		return true
 	case <-done:
 		t.Stop()
@@ -81,10 +83,11 @@
 	}
 }
 
+// runPending calls the callbacks of timers as they become due, and returns when no timer is pending.
 func runPending() {
 	runtime.LockOSThread()
-	// A thread that ended with its goroutine would take the processes along that were started on it before: they are
-	// killed with the thread that started them (Pdeathsig), as an agent was at the end of a run.
+	// Without the unlock, the thread would end with this goroutine. Processes that were started on the thread earlier would
+	// be killed then, since they are started with Pdeathsig; an agent was killed like that at the end of a run.
 	defer runtime.UnlockOSThread()
 	for {
 		mu.Lock()
@@ -94,7 +97,8 @@
 			ran = true
 		}
 		if ran {
-			// They stand in this thread's own queue, and would wait there until another one looks for work.
+			// The new goroutines are in the run queue of this thread and would stay there during its sleep, until another
+			// thread looks for work.
 			mu.Unlock()
 			runtime.Gosched()
 			continue
@@ -104,9 +108,9 @@
 			mu.Unlock()
 			return
 		}
-		wait := min(maxSleep, pending[0].at.Sub(now))
+		sleep := min(maxSleep, pending[0].at.Sub(now))
 		mu.Unlock()
-		ts := syscall.NsecToTimespec(int64(wait))
-		_ = syscall.Nanosleep(&ts, nil) // broken off early, it looks again
+		timespec := syscall.NsecToTimespec(int64(sleep))
+		_ = syscall.Nanosleep(&timespec, nil) // an interrupted sleep only means another look at the heap
 	}
 }
--- a/lab/precisetimer/precisetimer_test.go
+++ b/lab/precisetimer/precisetimer_test.go
@@ -11,32 +11,32 @@
 	"hatchproxy/lab/precisetimer"
 )
 
-func TestCallsRunAtTheirTimeInOrderAndStoppedOnesDoNot(t *testing.T) {
-	begin := time.Now()
+func TestCallbacksRunOnTimeUnlessStopped(t *testing.T) {
+	start := time.Now()
 	var mu sync.Mutex
-	var late []time.Duration
-	var all sync.WaitGroup
+	var lateness []time.Duration
+	var waitGroup sync.WaitGroup
 	for i := range 200 {
-		at := begin.Add(time.Duration(200-i) * time.Millisecond)
-		all.Add(1)
+		at := start.Add(time.Duration(200-i) * time.Millisecond)
+		waitGroup.Add(1)
 		precisetimer.RunAt(at, func() {
-			defer all.Done()
+			defer waitGroup.Done()
 			mu.Lock()
 			defer mu.Unlock()
-			late = append(late, time.Since(at))
+			lateness = append(lateness, time.Since(at))
 		})
-		precisetimer.RunAt(at, func() { t.Error("it was stopped") }).Stop()
+		precisetimer.RunAt(at, func() { t.Error("a stopped timer has fired") }).Stop()
 	}
-	all.Wait()
-	slices.Sort(late)
-	require.GreaterOrEqual(t, late[0], time.Duration(0), "never early")
-	require.Less(t, late[100], 5*time.Millisecond)
+	waitGroup.Wait()
+	slices.Sort(lateness)
+	require.GreaterOrEqual(t, lateness[0], time.Duration(0), "no callback runs early")
+	require.Less(t, lateness[100], 5*time.Millisecond)
 }
 
-func TestWaitingEndsWithItsContext(t *testing.T) {
+func TestWaitUntilEndsWhenDoneIsClosed(t *testing.T) {
 	done := make(chan struct{})
 	time.AfterFunc(20*time.Millisecond, func() { close(done) })
 	require.False(t, precisetimer.WaitUntil(time.Now().Add(time.Hour), done))
 	require.True(t, precisetimer.WaitUntil(time.Now().Add(time.Millisecond), nil))
-	require.True(t, precisetimer.WaitUntil(time.Now().Add(-time.Second), done), "what is past is past")
+	require.True(t, precisetimer.WaitUntil(time.Now().Add(-time.Second), done), "a time in the past is reached, even if done is closed")
 }
--- a/lab/testproxy/testproxy.go
+++ b/lab/testproxy/testproxy.go
@@ -1,6 +1,6 @@
-// Package rogue holds small proxies for the rig itself. Rogue breaks one rule on purpose, so that each judge can be
-// seen to convict; with no sin it is sound, and is to be acquitted. Relay copies bytes and decides nothing: what any
-// proxy on this machine must cost.
+// Package testproxy provides small proxies that test and calibrate the lab. A FaultyProxy breaks one rule on purpose, which
+// shows that the lab's check of that rule reports it; without a violation it keeps the rules, and no check may report it. Relay
+// only copies bytes, and so shows what any proxy costs on this machine.
 package testproxy
 
 import (
@@ -13,34 +13,36 @@
 	"time"
 )
 
-// Violation is what a rogue does wrong.
+// Violation is the way in which a FaultyProxy breaks the rules.
 type Violation string
 
+// The violations, each of which breaks one rule.
 const (
 	NoViolation        Violation = ""
-	NoAnswer           Violation = "no-answer"       // the client never hears of it
-	TwoAnswers         Violation = "two-answers"     // BUSY, and then ERR
-	SendsAfterAnswer   Violation = "sends-after"     // sends on what it has pushed back
-	LeavesAttemptOpen  Violation = "stays-out"       // leaves the dispatch out after its answer
-	AnswersLate        Violation = "late"            // answers after the hard limit
-	WithholdsAnswer    Violation = "withholds"       // sits on what it has given up
-	TwoAttemptsAtOnce  Violation = "both"            // has two dispatches out at once
-	RepeatsUnsafely    Violation = "repeats"         // sends again what may have run, anywhere
-	InventsAnswer      Violation = "invents"         // says UP for nobody
-	SendsToDrained     Violation = "to-drained"      // goes on sending to the first server whatever the list says
-	CutsConnections    Violation = "cuts"            // cuts standing connections off
-	KeepsClientOpen    Violation = "keeps-open"      // does not pass the server's end on
-	KeepsSilentServer  Violation = "keeps-mute"      // never moves the clients of a silent server
-	DelaysLines        Violation = "holds"           // keeps lines back
+	NoAnswer           Violation = "no-answer"       // never answers the client
+	TwoAnswers         Violation = "two-answers"     // answers BUSY, and then ERR
+	SendsAfterAnswer   Violation = "sends-after"     // sends a request to a server after it has answered BUSY
+	LeavesAttemptOpen  Violation = "stays-out"       // answers BUSY while an attempt is still open
+	AnswersLate        Violation = "late"            // answers after the client's hard limit
+	WithholdsAnswer    Violation = "withholds"       // answers a request late that it has already given up
+	TwoAttemptsAtOnce  Violation = "both"            // has two attempts open at once
+	RepeatsUnsafely    Violation = "repeats"         // repeats at any server a request that may have been executed
+	InventsAnswer      Violation = "invents"         // answers UP without a server
+	SendsToDrained     Violation = "to-drained"      // keeps sending to the first server, whatever the list says
+	CutsConnections    Violation = "cuts"            // closes established connections
+	KeepsClientOpen    Violation = "keeps-open"      // does not close the client's connection when the server closes its own
+	KeepsSilentServer  Violation = "keeps-mute"      // never sends MOVE to the clients of a silent server
+	DelaysLines        Violation = "holds"           // delays every line
 	DropsLines         Violation = "loses"           // drops every third line
-	DuplicatesLines    Violation = "doubles"         // passes every third line on twice
-	AltersLines        Violation = "changes"         // changes every third line
-	FloodsColdServer   Violation = "floods"          // sends everything to a cold server
-	TooManyAttempts    Violation = "insists"         // tries more often than allowed
-	PushesBackExecuted Violation = "pushes-back-ran" // pushes back what may have run
+	DuplicatesLines    Violation = "doubles"         // sends every third line twice
+	AltersLines        Violation = "changes"         // alters every third line
+	FloodsColdServer   Violation = "floods"          // sends all requests to a cold server
+	TooManyAttempts    Violation = "insists"         // makes more attempts than allowed
+	PushesBackExecuted Violation = "pushes-back-ran" // answers BUSY to a request that may have been executed
 )
 
-// FaultyProxy is a proxy of few lines: a goroutine for each connection, servers in turn, one try.
+// FaultyProxy is a minimal proxy: it has a goroutine for each connection, takes the servers in turn and makes one attempt per
+// request, except as its violation has it.
 type FaultyProxy struct {
 	Address       string
 	violation     Violation
@@ -49,55 +51,58 @@
 	serverTurn    atomic.Int64
 	mu            sync.Mutex
 	conns         []net.Conn
-	answerTimeout time.Duration // for a server's answer
+	answerTimeout time.Duration // how long a server may take to answer
 }
 
-// StartFaultyProxy starts one before servers; they are asked for anew for each connection, in an order that is always the same.
-func StartFaultyProxy(sin Violation, servers func() []string) (*FaultyProxy, error) {
+// StartFaultyProxy starts a proxy on a loopback address. It calls servers, which returns the servers' addresses in a fixed order,
+// for each attempt.
+func StartFaultyProxy(violation Violation, servers func() []string) (*FaultyProxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &FaultyProxy{Address: l.Addr().String(), violation: sin, servers: servers, listener: l, answerTimeout: 400 * time.Millisecond}
+	p := &FaultyProxy{Address: l.Addr().String(), violation: violation, servers: servers, listener: l, answerTimeout: 400 * time.Millisecond}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			r.trackConn(c)
-			go r.serve(c)
+			p.trackConn(c)
+			go p.serve(c)
 		}
 	}()
-	return r, nil
+	return p, nil
 }
 
-func (r *FaultyProxy) trackConn(c net.Conn) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.conns = append(r.conns, c)
+// trackConn adds a connection to those that Close closes.
+func (p *FaultyProxy) trackConn(c net.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.conns = append(p.conns, c)
 }
 
-// Close ends it with all its connections.
-func (r *FaultyProxy) Close() {
-	_ = r.listener.Close()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, c := range r.conns {
+// Close stops the proxy and closes all its connections.
+func (p *FaultyProxy) Close() {
+	_ = p.listener.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.conns {
 		_ = c.Close()
 	}
 }
 
-func writeLine(c net.Conn, word string) { _, _ = c.Write([]byte(word + "\r\n")) }
+func writeLine(c net.Conn, line string) { _, _ = c.Write([]byte(line + "\r\n")) }
 
-func (r *FaultyProxy) serve(c net.Conn) {
-	in := bufio.NewReader(c)
-	line, err := in.ReadString('\n')
+// serve handles a client's connection, up to its end.
+func (p *FaultyProxy) serve(c net.Conn) {
+	fromClient := bufio.NewReader(c)
+	line, err := fromClient.ReadString('\n')
 	if err != nil {
 		_ = c.Close()
 		return
 	}
-	switch r.violation {
+	switch p.violation {
 	case NoAnswer:
 		return
 	case InventsAnswer:
@@ -112,43 +117,43 @@
 	case SendsAfterAnswer:
 		writeLine(c, "BUSY")
 		time.Sleep(150 * time.Millisecond)
-		_, _, _ = r.attempt(line, 0)
+		_, _, _ = p.attempt(line, 0)
 		return
 	case LeavesAttemptOpen:
-		go func() { _, _, _ = r.attemptWithin(line, 0, time.Hour) }()
+		go func() { _, _, _ = p.attemptWithin(line, 0, time.Hour) }()
 		time.Sleep(50 * time.Millisecond)
 		writeLine(c, "BUSY")
 		return
 	case TwoAttemptsAtOnce:
-		go func() { _, _, _ = r.attemptWithin(line, 0, time.Hour) }()
+		go func() { _, _, _ = p.attemptWithin(line, 0, time.Hour) }()
 		time.Sleep(100 * time.Millisecond)
 	}
-	first := int(r.serverTurn.Add(1))
-	if r.violation == SendsToDrained || r.violation == FloodsColdServer {
+	first := int(p.serverTurn.Add(1))
+	if p.violation == SendsToDrained || p.violation == FloodsColdServer {
 		first = 0
 	}
-	tries := 1
-	switch r.violation {
+	attempts := 1
+	switch p.violation {
 	case RepeatsUnsafely:
-		tries = 2
+		attempts = 2
 	case TooManyAttempts:
-		tries = 5
+		attempts = 5
 	}
-	var up string
-	var s net.Conn
-	var back *bufio.Reader
-	for i := range tries {
-		if s, back, up = r.attempt(line, first+i); s != nil {
+	var answer string
+	var server net.Conn
+	var fromServer *bufio.Reader
+	for i := range attempts {
+		if server, fromServer, answer = p.attempt(line, first+i); server != nil {
 			break
 		}
 	}
-	if s == nil {
-		if r.violation == AnswersLate {
+	if server == nil {
+		if p.violation == AnswersLate {
 			time.Sleep(800 * time.Millisecond)
-		} else if r.violation == WithholdsAnswer {
+		} else if p.violation == WithholdsAnswer {
 			time.Sleep(450 * time.Millisecond)
 		}
-		if r.violation == PushesBackExecuted || up == "BUSY" {
+		if p.violation == PushesBackExecuted || answer == "BUSY" {
 			writeLine(c, "BUSY")
 		} else {
 			writeLine(c, "ERR")
@@ -157,62 +162,66 @@
 		_ = c.Close()
 		return
 	}
-	writeLine(c, up)
-	r.relayLines(c, s, in, back)
+	writeLine(c, answer)
+	p.relayLines(c, server, fromClient, fromServer)
 }
 
-// attempt asks a server. It returns its connection if that stands, and the word that came.
-func (r *FaultyProxy) attempt(line string, number int) (net.Conn, *bufio.Reader, string) {
-	return r.attemptWithin(line, number, r.answerTimeout)
+// attempt sends a request line to a server and waits for the answer. It returns the connection to the server and its reader if
+// the answer is UP, and the answer itself: "BUSY" if the server can't be reached, "" if it doesn't answer in time.
+func (p *FaultyProxy) attempt(line string, serverIndex int) (net.Conn, *bufio.Reader, string) {
+	return p.attemptWithin(line, serverIndex, p.answerTimeout)
 }
 
-func (r *FaultyProxy) attemptWithin(line string, number int, wait time.Duration) (net.Conn, *bufio.Reader, string) {
-	servers := r.servers()
-	s, err := net.DialTimeout("tcp", servers[number%len(servers)], time.Second)
+// attemptWithin is attempt with a timeout for the server's answer.
+func (p *FaultyProxy) attemptWithin(line string, serverIndex int, timeout time.Duration) (net.Conn, *bufio.Reader, string) {
+	servers := p.servers()
+	server, err := net.DialTimeout("tcp", servers[serverIndex%len(servers)], time.Second)
 	if err != nil {
 		return nil, nil, "BUSY"
 	}
-	r.trackConn(s)
-	_, _ = s.Write([]byte(line))
-	back := bufio.NewReader(s)
-	_ = s.SetReadDeadline(time.Now().Add(wait))
-	word, err := back.ReadString('\n')
-	word = strings.TrimRight(word, "\r\n")
-	if err != nil || !strings.HasPrefix(word, "UP ") {
-		_ = s.Close()
-		return nil, nil, word
+	p.trackConn(server)
+	_, _ = server.Write([]byte(line))
+	fromServer := bufio.NewReader(server)
+	_ = server.SetReadDeadline(time.Now().Add(timeout))
+	answer, err := fromServer.ReadString('\n')
+	answer = strings.TrimRight(answer, "\r\n")
+	if err != nil || !strings.HasPrefix(answer, "UP ") {
+		_ = server.Close()
+		return nil, nil, answer
 	}
-	_ = s.SetReadDeadline(time.Time{})
-	return s, back, word
+	_ = server.SetReadDeadline(time.Time{})
+	return server, fromServer, answer
 }
 
-// lineDelay is well over the second for which a line may be held.
+// lineDelay is well over the second by which a proxy may delay a line.
 const lineDelay = 1300 * time.Millisecond
 
-func (r *FaultyProxy) relayLines(c, s net.Conn, fromClient, fromServer *bufio.Reader) {
-	if r.violation == CutsConnections {
-		time.AfterFunc(300*time.Millisecond, func() { _, _ = c.Close(), s.Close() })
+// relayLines passes lines between a client and a server until one of them closes its connection. It sends MOVE to the client if the
+// server doesn't react to the client's line within 1.5 seconds.
+func (p *FaultyProxy) relayLines(client, server net.Conn, fromClient, fromServer *bufio.Reader) {
+	if p.violation == CutsConnections {
+		time.AfterFunc(300*time.Millisecond, func() { _, _ = client.Close(), server.Close() })
 	}
 	var silence *time.Timer
 	moved := make(chan struct{})
-	if r.violation != KeepsSilentServer {
+	if p.violation != KeepsSilentServer {
 		silence = time.AfterFunc(time.Hour, func() {
 			close(moved)
-			writeLine(c, "MOVE")
-			_, _ = c.Close(), s.Close()
+			writeLine(client, "MOVE")
+			_, _ = client.Close(), server.Close()
 		})
 	}
 	go func() {
 		for {
 			line, err := fromClient.ReadString('\n')
 			if err != nil {
-				_ = s.Close()
+				_ = server.Close()
 				return
 			}
 			if silence != nil {
 				silence.Reset(1500 * time.Millisecond)
 			}
-			_, _ = s.Write([]byte(line))
+			_, _ = server.Write([]byte(line))
 		}
 	}()
 	for n := 1; ; n++ {
@@ -221,33 +230,34 @@
 			silence.Reset(time.Hour)
 		}
 		if err != nil {
-			if r.violation == KeepsClientOpen {
+			if p.violation == KeepsClientOpen {
 				time.Sleep(2 * time.Second)
 			}
-			_ = c.Close()
+			_ = client.Close()
 			return
 		}
-		if r.violation == DelaysLines {
+		if p.violation == DelaysLines {
 			time.Sleep(lineDelay)
 		}
 		if n%3 == 0 {
-			switch r.violation {
+			switch p.violation {
 			case DropsLines:
 				continue
 			case DuplicatesLines:
-				_, _ = c.Write([]byte(line))
+				_, _ = client.Write([]byte(line))
 			case AltersLines:
 				line = strings.Replace(line, "R", "Q", 1)
 			}
 		}
-		if _, err := c.Write([]byte(line)); err != nil {
-			_ = s.Close()
+		if _, err := client.Write([]byte(line)); err != nil {
+			_ = server.Close()
 			return
 		}
 	}
 }
 
-// Relay copies bytes between a listener and servers in turn until the listener is closed.
+// Relay accepts connections from a listener and copies bytes between each and a server, taking the servers in turn. It returns the
+// error of Accept when the listener is closed.
 func Relay(l net.Listener, servers func() []string) error {
 	for turn := 0; ; turn++ {
 		c, err := l.Accept()
@@ -255,31 +265,31 @@
 			return err
 		}
 		go func() {
-			at := servers()
-			if len(at) == 0 {
+			addresses := servers()
+			if len(addresses) == 0 {
 				_ = c.Close()
 				return
 			}
-			s, err := net.Dial("tcp", at[turn%len(at)])
+			server, err := net.Dial("tcp", addresses[turn%len(addresses)])
 			if err != nil {
 				fmt.Fprintln(c, "BUSY\r")
 				_ = c.Close()
 				return
 			}
-			go func() { copyAndClose(s, c) }()
-			copyAndClose(c, s)
+			go func() { copyAndClose(server, c) }()
+			copyAndClose(c, server)
 		}()
 	}
 }
 
-// copyAndClose reads and writes, and no more. io.Copy would splice the sockets through pipes, which costs four more
-// descriptors a connection.
+// copyAndClose copies bytes until an error, then closes the destination. It doesn't use io.Copy, which would splice the sockets
+// through pipes and so need four more descriptors per connection.
 func copyAndClose(to, from net.Conn) {
-	b := make([]byte, 4<<10)
+	buffer := make([]byte, 4<<10)
 	for {
-		n, err := from.Read(b)
+		n, err := from.Read(buffer)
 		if n > 0 {
-			if _, err := to.Write(b[:n]); err != nil {
+			if _, err := to.Write(buffer[:n]); err != nil {
 				break
 			}
 		}
--- a/lab/testproxy/testproxy_test.go
+++ b/lab/testproxy/testproxy_test.go
@@ -26,36 +26,37 @@
 	{Name: "stamp", Share: 0.2, MeanLifetime: 3 * second, QuotedSetUpTime: second, HardLimit: second, QuotedMessageTime: second, Gain: 1},
 }
 
-// polledList follows a front's list as a proxy would.
+// polledList holds the endpoints of the ready servers, which it polls from a discovery server as a proxy would.
 type polledList struct {
 	mu        sync.Mutex
 	endpoints []string
 }
 
-func (l *polledList) poll(t *testing.T, front *fleet.DiscoveryServer, done <-chan struct{}) {
-	ask := func() {
-		resp, err := http.Get("http://" + front.Address() + "/v1/servers")
+// poll requests the list now, and every 50 ms until done is closed.
+func (l *polledList) poll(t *testing.T, discovery *fleet.DiscoveryServer, done <-chan struct{}) {
+	request := func() {
+		resp, err := http.Get("http://" + discovery.Address() + "/v1/servers")
 		if err != nil {
 			return
 		}
 		defer resp.Body.Close()
 		text, _ := io.ReadAll(resp.Body)
-		var told struct {
+		var answer struct {
 			Targets []struct{ Endpoint, State string }
 		}
-		if json.Unmarshal(text, &told) != nil {
+		if json.Unmarshal(text, &answer) != nil {
 			return
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.endpoints = nil
-		for _, e := range told.Targets {
+		for _, e := range answer.Targets {
 			if e.State == "ready" {
 				l.endpoints = append(l.endpoints, e.Endpoint)
 			}
 		}
 	}
-	ask()
+	request()
 	require.Len(t, l.readyEndpoints(), 3)
 	go func() {
 		for {
@@ -63,7 +64,7 @@
 			case <-done:
 				return
 			case <-time.After(50 * time.Millisecond):
-				ask()
+				request()
 			}
 		}
 	}()
@@ -75,43 +76,44 @@
 	return append([]string(nil), l.endpoints...)
 }
 
-// runAndJudge plays a rogue before three servers with a script of troubles and returns how often each rule was broken.
-func runAndJudge(t *testing.T, sin testproxy.Violation, length ledger.Micros, cold fleet.ColdStart, script ...fleet.Trouble) (map[ledger.Rule]int, []ledger.Breach) {
+// runAndJudge runs clients through a faulty proxy to three servers, with scripted troubles, and checks the rules. It returns the
+// number of breaches by rule, and the breaches.
+func runAndJudge(t *testing.T, violation testproxy.Violation, length ledger.Micros, cold fleet.ColdStart, script ...fleet.Trouble) (map[ledger.Rule]int, []ledger.Breach) {
 	t.Parallel()
-	book := ledger.NewEventLog()
-	f, err := fleet.Start(book, fleet.Config{ServerCount: 3, Zones: []string{"a", "b"}, SetUpWork: 5 * ledger.Millisecond, ConnLoad: 1000,
+	eventLog := ledger.NewEventLog()
+	f, err := fleet.Start(eventLog, fleet.Config{ServerCount: 3, Zones: []string{"a", "b"}, SetUpWork: 5 * ledger.Millisecond, ConnLoad: 1000,
 		MessageTime: ledger.Millisecond, ColdStart: cold, MachineKinds: []fleet.MachineKind{{Name: "m", Share: 1, Cores: 2, Speed: 1}}}, 5)
 	require.NoError(t, err)
 	defer f.Stop()
-	front, err := f.StartDiscovery(0, 0)
+	discovery, err := f.StartDiscovery(0, 0)
 	require.NoError(t, err)
 	done := make(chan struct{})
 	defer close(done)
-	var servers polledList
-	servers.poll(t, front, done)
-	from := servers.readyEndpoints
-	if sin == testproxy.SendsToDrained || sin == testproxy.FloodsColdServer {
-		first := servers.readyEndpoints()
-		from = func() []string { return first }
+	var list polledList
+	list.poll(t, discovery, done)
+	endpoints := list.readyEndpoints
+	if violation == testproxy.SendsToDrained || violation == testproxy.FloodsColdServer {
+		first := list.readyEndpoints()
+		endpoints = func() []string { return first }
 	}
-	proxy, err := testproxy.StartFaultyProxy(sin, from)
+	proxy, err := testproxy.StartFaultyProxy(violation, endpoints)
 	require.NoError(t, err)
 	defer proxy.Close()
 
-	steps, err := fleet.Schedule(script, func(string) int { return 3 }, 5)
+	troubles, err := fleet.Schedule(script, func(string) int { return 3 }, 5)
 	require.NoError(t, err)
-	for _, s := range steps {
+	for _, s := range troubles {
 		defer time.AfterFunc(s.At.Duration(), func() { require.NoError(t, f.BeginTrouble(s)) }).Stop()
 		defer time.AfterFunc((s.At + s.Duration).Duration(), func() { require.NoError(t, f.EndTrouble(s)) }).Stop()
 	}
 	route := func(*rand.Rand, int, uint64) (string, int, bool) { return proxy.Address, 0, true }
-	clients := load.NewClients(book, load.NewTally(length), products, route,
+	clients := load.NewClients(eventLog, load.NewTally(length), products, route,
 		load.Habits{MaxRejoinDelay: second / 2, MessageInterval: second / 2, ZoneCount: 1}, length, 5)
 	clients.Play(context.Background(), load.DrawArrivals([]load.RatePoint{{Rate: 40}}, length-second, products, load.Groups{}, 5))
-	time.Sleep((clients.Start() + length - book.Now()).Duration())
-	end := book.Now()
+	time.Sleep((clients.Start() + length - eventLog.Now()).Duration())
+	end := eventLog.Now()
 	clients.Wait()
-	breaches := ledger.FindBreaches(book.Events(), ledger.Parameters{
+	breaches := ledger.FindBreaches(eventLog.Events(), ledger.Parameters{
 		Products: []ledger.Product{{Name: "chat"}, {Name: "pay", Idempotency: ledger.OneShot}, {Name: "stamp", Idempotency: ledger.Stamped, DedupScope: ledger.DedupZone}},
 		Servers:  f.Positions(), DrainGrace: second / 2, MaxDispatches: 3, End: end})
 	count := map[ledger.Rule]int{}
@@ -121,18 +123,20 @@
 	return count, breaches
 }
 
-func allServers(kind string, size float64, from, length ledger.Micros) fleet.Trouble {
-	return fleet.Trouble{Kind: kind, At: from, Duration: length, Targets: []int{0, 1, 2}, Size: size}
+// allServers is a trouble of all three servers.
+func allServers(kind string, size float64, at, duration ledger.Micros) fleet.Trouble {
+	return fleet.Trouble{Kind: kind, At: at, Duration: duration, Targets: []int{0, 1, 2}, Size: size}
 }
 
-func firstServer(kind string, size float64, from, length ledger.Micros) fleet.Trouble {
-	return fleet.Trouble{Kind: kind, At: from, Duration: length, Targets: []int{0}, Size: size}
+// firstServer is a trouble of the first server alone.
+func firstServer(kind string, size float64, at, duration ledger.Micros) fleet.Trouble {
+	return fleet.Trouble{Kind: kind, At: at, Duration: duration, Targets: []int{0}, Size: size}
 }
 
-// Guards against judges that cannot fail: each sin is convicted, of its own rule.
-func TestEachSinIsConvicted(t *testing.T) {
+// Guards against a check that never reports: each violation is reported as a breach of the rule that it breaks.
+func TestEachViolationIsReported(t *testing.T) {
 	errors, hang := allServers("errors", 1, 0, 9*second), allServers("hang", 0, 0, 9*second)
-	for sin, c := range map[testproxy.Violation]struct {
+	for violation, c := range map[testproxy.Violation]struct {
 		rule   ledger.Rule
 		length ledger.Micros
 		script []fleet.Trouble
@@ -158,20 +162,20 @@
 		testproxy.AltersLines:        {ledger.LinesUnchanged, 3 * second, nil},
 		testproxy.FloodsColdServer:   {ledger.ColdServerNotOverloaded, 6 * second, []fleet.Trouble{firstServer("restart", 0, second/5, second/5)}},
 	} {
-		t.Run(string(sin), func(t *testing.T) {
+		t.Run(string(violation), func(t *testing.T) {
 			cold := fleet.ColdStart{}
-			if sin == testproxy.FloodsColdServer {
+			if violation == testproxy.FloodsColdServer {
 				cold = fleet.ColdStart{InitialShare: 0.01, WarmUpTime: 600 * second, OverloadMultiple: 4, OverloadWindow: second}
 			}
-			count, breaches := runAndJudge(t, sin, c.length, cold, c.script...)
+			count, breaches := runAndJudge(t, violation, c.length, cold, c.script...)
 			require.Positive(t, count[c.rule], "%v", count)
 			require.NotEmpty(t, breaches[0].Evidence)
 		})
 	}
 }
 
-// Guards against judges that find fault with everything: a sound proxy is acquitted in the same troubles.
-func TestASoundProxyIsAcquitted(t *testing.T) {
+// Guards against a check that reports faultless proxies: nothing is reported of a proxy without a violation, in the same troubles.
+func TestFaultlessProxyHasNoBreaches(t *testing.T) {
 	for name, script := range map[string][]fleet.Trouble{
 		"calm":   nil,
 		"errors": {allServers("errors", 0.5, second, 2*second)},
