--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -40,7 +40,7 @@
 	MessageTime         Micros  // answer time of a message on an idle server of speed 1
 	ColdStart           ColdStart
 	DiscoveryDelay      Micros // how late discovery shows changes
-	WeightMode          string // of the weights on the list: "none" for 1, "nominal" for the capacity, "rough" for it with an error of up to 30%
+	WeightMode          string // weights on the list: "none" for 1, "nominal" for the capacity, "rough" for that with an error of up to 30%
 	ReportsLoad         bool   // servers send LOAD lines
 	AnswersProbes       bool   // servers answer PING and STATS
 	MovesClientsOnDrain bool   // a draining server sends MOVE to its clients
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -82,19 +82,19 @@
 	f, _ := startFleet(t, nil)
 	c := dial(t, f, 0)
 	c.send("PING\r\n")
-	word, err := c.readLine()
+	answer, err := c.readLine()
 	require.NoError(t, err)
-	require.Equal(t, "PONG", word)
+	require.Equal(t, "PONG", answer)
 	c.send("STATS\r\n")
-	word, _ = c.readLine()
-	require.Regexp(t, `^PONG use=0\.000 standing=0$`, word)
+	answer, _ = c.readLine()
+	require.Regexp(t, `^PONG use=0\.000 standing=0$`, answer)
 	c.send("OPEN 1 2 c=chat,d=900\r\n")
-	word, _ = c.readLine()
-	require.Regexp(t, "^UP s000-1$", word)
+	answer, _ = c.readLine()
+	require.Regexp(t, "^UP s000-1$", answer)
 	bad := dial(t, f, 0)
 	bad.send("HELLO\r\n")
-	word, _ = bad.readLine()
-	require.Equal(t, "SYNTAX", word)
+	answer, _ = bad.readLine()
+	require.Equal(t, "SYNTAX", answer)
 	_, err = bad.readLine()
 	require.ErrorIs(t, err, io.EOF)
 }
@@ -139,8 +139,8 @@
 	}{
 		"hang": {0, silent},
 		"errors": {1, func(t *testing.T, f *fleet.Fleet) {
-			word, _ := dialAndOpen(t, f, 0).readLine()
-			require.Equal(t, "ERR", word)
+			answer, _ := dialAndOpen(t, f, 0).readLine()
+			require.Equal(t, "ERR", answer)
 		}},
 		"resets": {1, func(t *testing.T, f *fleet.Fleet) {
 			_, err := dialAndOpen(t, f, 0).readLine()
@@ -173,9 +173,9 @@
 			require.NoError(t, f.BeginTrouble(trouble))
 			want.check(t, f)
 			require.NoError(t, f.EndTrouble(trouble))
-			word, err := dialAndOpen(t, f, 0).readLine()
+			answer, err := dialAndOpen(t, f, 0).readLine()
 			require.NoError(t, err)
-			require.True(t, strings.HasPrefix(word, "UP "), "the server works again after the trouble")
+			require.True(t, strings.HasPrefix(answer, "UP "), "the server works again after the trouble")
 		})
 	}
 }
@@ -208,8 +208,8 @@
 	trouble.Duration = second / 2
 	require.NoError(t, f.BeginTrouble(trouble))
 	require.Equal(t, "draining", currentList(t, discovery)["s000"].State)
-	word, _ := c.readLine()
-	require.Equal(t, "MOVE", word)
+	answer, _ := c.readLine()
+	require.Equal(t, "MOVE", answer)
 	require.NoError(t, f.EndTrouble(trouble))
 	require.NotContains(t, currentList(t, discovery), "s000")
 	require.Eventually(t, func() bool { return currentList(t, discovery)["s000"].State == "ready" }, 5*time.Second, 10*time.Millisecond)
--- a/lab/fleet/server.go
+++ b/lab/fleet/server.go
@@ -52,7 +52,7 @@
 	mute       bool    // it falls silent halfway through a line
 	errorShare float64 // share of requests that it answers with ERR at once
 	resetShare float64 // share of requests at which it resets the connection
-	vanished   bool    // it is unreachable, as if its machine had lost power
+	vanished   bool    // it is unreachable, as if its machine had vanished
 }
 
 // conn is a server's end of a connection. Its fields are guarded by the server's lock.
--- a/lab/testproxy/testproxy.go
+++ b/lab/testproxy/testproxy.go
@@ -16,7 +16,7 @@
 // Violation is the way in which a FaultyProxy breaks the rules.
 type Violation string
 
-// The violations, each of which breaks one rule.
+// The violations. Each but NoViolation breaks one rule.
 const (
 	NoViolation        Violation = ""
 	NoAnswer           Violation = "no-answer"       // never answers the client
@@ -36,7 +36,7 @@
 	DropsLines         Violation = "loses"           // drops every third line
 	DuplicatesLines    Violation = "doubles"         // sends every third line twice
 	AltersLines        Violation = "changes"         // alters every third line
-	FloodsColdServer   Violation = "floods"          // sends all requests to a cold server
+	FloodsColdServer   Violation = "floods"          // sends all requests to the first server, even while it is cold
 	TooManyAttempts    Violation = "insists"         // makes more attempts than allowed
 	PushesBackExecuted Violation = "pushes-back-ran" // answers BUSY to a request that may have been executed
 )
@@ -197,7 +197,7 @@
 const lineDelay = 1300 * time.Millisecond
 
 // relayLines passes lines between a client and a server until one of them closes its connection. It sends MOVE to the client if the
-// server doesn't react to the client's line within 1.5 seconds.
+// server sends no line within 1.5 seconds of a client's line.
 func (p *FaultyProxy) relayLines(client, server net.Conn, fromClient, fromServer *bufio.Reader) {
 	if p.violation == CutsConnections {
 		time.AfterFunc(300*time.Millisecond, func() { _, _ = client.Close(), server.Close() })
