--- a/lab/load/arrivals.go
+++ b/lab/load/arrivals.go
@@ -1,5 +1,6 @@
-// Package load makes the traffic of a run: arrivals drawn ahead and sent on schedule whatever the proxies do, and
-// clients that keep to the protocol. Latency counts from the time at which something was meant to be sent.
+// Package load generates the traffic of an experiment: an open-loop load whose arrivals are drawn in advance and sent on
+// schedule, however slowly the proxies answer, and clients that follow the protocol. Latencies are measured from the
+// time at which something was scheduled to be sent, so that a stall is counted in full.
 package load
 
 import (
@@ -9,75 +10,78 @@
 	"hatchproxy/lab/ledger"
 )
 
+// Micros is a time or a duration in whole microseconds.
 type Micros = ledger.Micros
 
-// Arrival is a client that wants a connection from a time on, for a while.
+// Arrival is a client that wants to be connected for some time.
 type Arrival struct {
-	At       Micros
-	Product  int
+	At       Micros // when the client is to ask for a connection, from the start of the run
+	Product  int    // index in the list of products
 	Group    uint64 // 0 if none
-	Key      uint64
-	Lifetime Micros // how long it wants to be connected, from At on
+	Key      uint64 // identifies the client over its connections
+	Lifetime Micros // how long the client wants to be connected, from At on
 }
 
-// RatePoint is a point of a shape: the rate at that time, in arrivals a second. Between two points it goes evenly.
+// RatePoint is the arrival rate at one time. Between two points the rate is interpolated linearly.
 type RatePoint struct {
 	At   Micros
-	Rate float64
+	Rate float64 // arrivals per second
 }
 
-// Product is what the load needs to know of a product.
+// Product holds the properties of a product that the clients need.
 type Product struct {
 	Name              string
-	Share             float64
-	MeanLifetime      Micros // the mean
-	QuotedSetUpTime   Micros // a set-up within this earns the full gain
-	HardLimit         Micros // the hard limit
-	QuotedMessageTime Micros // the quoted time of a message
-	Gain              float64
+	Share             float64 // of the arrivals, relative to the other products' shares
+	MeanLifetime      Micros  // of a client's wish to be connected
+	QuotedSetUpTime   Micros  // a connection set up within this time counts as served from the start
+	HardLimit         Micros  // from a request to its final answer
+	QuotedMessageTime Micros  // a message answered within this time counts as served
+	Gain              float64 // weight of a second of service
 }
 
-// Groups are what clients belong to: drawn by Zipf's law, of this many and with this exponent.
+// Groups describes the groups that clients belong to: a client's group is drawn from Count groups by Zipf's law. A Count
+// of 0 means that clients have no group.
 type Groups struct {
 	Count        int
 	ZipfExponent float64
 }
 
-// At is the rate at a time.
-func rateAt(bends []RatePoint, at Micros) float64 {
-	for i, b := range bends {
-		if at < b.At {
+// rateAt returns the rate at a time, in arrivals per second.
+func rateAt(points []RatePoint, at Micros) float64 {
+	for i, next := range points {
+		if at < next.At {
 			if i == 0 {
-				return b.Rate
+				return next.Rate
 			}
-			a := bends[i-1]
-			return a.Rate + (b.Rate-a.Rate)*float64(at-a.At)/float64(b.At-a.At)
+			previous := points[i-1]
+			return previous.Rate + (next.Rate-previous.Rate)*float64(at-previous.At)/float64(next.At-previous.At)
 		}
 	}
-	return bends[len(bends)-1].Rate
+	return points[len(points)-1].Rate
 }
 
-// DrawArrivals draws the arrivals of a run: a Poisson process whose rate follows the bends. The same seed gives the same.
-func DrawArrivals(bends []RatePoint, length Micros, products []Product, groups Groups, seed uint64) []Arrival {
+// DrawArrivals draws the arrivals of a run from a Poisson process whose rate follows the given points. Equal seeds give equal
+// arrivals.
+func DrawArrivals(points []RatePoint, length Micros, products []Product, groups Groups, seed uint64) []Arrival {
 	rng := rand.New(rand.NewPCG(seed, 0xa441ba1))
 	var zipf *rand.Zipf
 	if groups.Count > 0 {
 		zipf = rand.NewZipf(rng, math.Max(1.01, groups.ZipfExponent), 1, uint64(groups.Count-1))
 	}
 	var drawn []Arrival
-	const step = ledger.Millisecond // a bend is never steeper than can be seen in this
-	left := rng.ExpFloat64()
+	const step = ledger.Millisecond // the rate is taken as constant within it: no shape changes faster
+	remaining := rng.ExpFloat64()
 	for at := Micros(0); at < length; at += step {
-		rate := rateAt(bends, at)
-		for had := 0.0; ; {
-			part := rate * float64(step) / 1e6
-			if left > part-had {
-				left -= part - had
+		rate := rateAt(points, at)
+		for elapsed := 0.0; ; {
+			expected := rate * float64(step) / 1e6
+			if remaining > expected-elapsed {
+				remaining -= expected - elapsed
 				break
 			}
-			had += left
-			left = rng.ExpFloat64()
-			a := Arrival{At: at + Micros(had/part*float64(step)), Key: rng.Uint64() | 1, Product: chooseProduct(products, rng.Float64())}
+			elapsed += remaining
+			remaining = rng.ExpFloat64()
+			a := Arrival{At: at + Micros(elapsed/expected*float64(step)), Key: rng.Uint64() | 1, Product: chooseProduct(products, rng.Float64())}
 			if zipf != nil {
 				a.Group = zipf.Uint64() + 1
 			}
@@ -88,6 +92,7 @@
 	return drawn
 }
 
+// chooseProduct returns the index of the product at x, from 0 to 1, of the cumulated shares.
 func chooseProduct(products []Product, x float64) int {
 	total := 0.0
 	for _, p := range products {
@@ -102,12 +107,13 @@
 	return len(products) - 1
 }
 
-// PermanentArrivals is so many clients that come evenly over a while and stay for good: what stands before a measurement.
+// PermanentArrivals returns count clients that arrive evenly over a time and stay to the end of the run. They make the
+// connections that are established before a measurement.
 func PermanentArrivals(count int, over Micros, product int, seed uint64) []Arrival {
 	rng := rand.New(rand.NewPCG(seed, 0xc40fd))
-	crowd := make([]Arrival, count)
-	for i := range crowd {
-		crowd[i] = Arrival{At: over * Micros(i) / Micros(count), Product: product, Key: rng.Uint64() | 1, Lifetime: math.MaxInt32 * ledger.Second}
+	arrivals := make([]Arrival, count)
+	for i := range arrivals {
+		arrivals[i] = Arrival{At: over * Micros(i) / Micros(count), Product: product, Key: rng.Uint64() | 1, Lifetime: math.MaxInt32 * ledger.Second}
 	}
-	return crowd
+	return arrivals
 }
--- a/lab/load/session.go
+++ b/lab/load/session.go
@@ -19,46 +19,47 @@
 	"hatchproxy/lab/precisetimer"
 )
 
-// Route says where a client of a zone connects now, and which proxy that is; ledger.None for a server itself. False
-// where nobody is there.
+// Route returns the address that a client of a zone connects to now, and the number of the proxy there, or ledger.None where
+// the address is a server's own. found is false where there is nothing to connect to.
 type Route func(rng *rand.Rand, zone int, group uint64) (address string, proxy int, found bool)
 
-// Habits are how clients behave.
+// Habits describes how clients behave. Shares are from 0 to 1.
 type Habits struct {
-	MaxRetries      int     // of one wish to be connected, at most
-	MeanRetryDelay  Micros  // before a retry, on average
-	HeedShare       float64 // the share of clients that stay away as long as they are told
-	MaxRejoinDelay  Micros  // after a break or a move clients come again within this
-	MeanReturnDelay Micros  // one that has used its retries up comes again after this, on average; 0 for never
-	MessageInterval Micros  // how often a client sends a line
-	LeaveShare      float64 // the share of requests that the client gives up early, by closing
-	IdleShare       float64 // the share of requests on connections that rested first
-	MarkRetries     bool    // retries are marked r=1
-	FirstZoneShare  float64 // the share of clients in the first zone; the others' are equal
+	MaxRetries      int     // retries of one set-up, before the client gives up
+	MeanRetryDelay  Micros  // before a retry
+	HeedShare       float64 // of clients that wait before a retry as long as a BUSY answer tells them
+	MaxRejoinDelay  Micros  // bound of the random delay after a disconnect or a MOVE, before the client connects again
+	MeanReturnDelay Micros  // after a client has given up, before it tries again; 0 if it never does
+	MessageInterval Micros  // between two messages of a client
+	LeaveShare      float64 // of requests that the client abandons early, by closing its connection
+	IdleShare       float64 // of requests on connections that are idle for a while first
+	MarkRetries     bool    // retries carry r=1
+	FirstZoneShare  float64 // of clients in the first zone; the other zones share the rest evenly
 	ZoneCount       int
 }
 
-// Clients are the clients of a run.
+// Clients plays the clients of one run.
 type Clients struct {
 	eventLog *ledger.EventLog
 	tally    *Tally
 	products []Product
 	route    Route
 	habits   Habits
-	length   Micros // of the run, from its start
-	start    Micros // of the run, by the record's clock
-	started  chan struct{}
+	length   Micros        // of the run, from its start
+	start    Micros        // of the run, by the event log's clock
+	started  chan struct{} // closed once start is set
 	seed     uint64
 	sessions sync.WaitGroup
 }
 
-// NewClients makes the clients of a run of a length; they begin with Play.
-func NewClients(book *ledger.EventLog, tally *Tally, products []Product, route Route, habits Habits, length Micros, seed uint64) *Clients {
-	return &Clients{eventLog: book, tally: tally, products: products, route: route, habits: habits, length: length,
+// NewClients returns the clients of a run of the given length. They are started by Play and Carry.
+func NewClients(eventLog *ledger.EventLog, tally *Tally, products []Product, route Route, habits Habits, length Micros, seed uint64) *Clients {
+	return &Clients{eventLog: eventLog, tally: tally, products: products, route: route, habits: habits, length: length,
 		started: make(chan struct{}), seed: seed}
 }
 
-// Play sends arrivals on schedule, from now on, until all have come or ctx ends. It never waits for an answer.
+// Play starts the run and has each arrival's client connect on schedule, until all have done so or ctx ends. It never waits
+// for an answer.
 func (c *Clients) Play(ctx context.Context, arrivals []Arrival) {
 	c.start = c.eventLog.Now()
 	close(c.started)
@@ -70,59 +71,61 @@
 	}
 }
 
-// Carry brings clients whose connections stood before the run back to their servers, and waits until all are up; it
-// returns how many were not within the protocol's 40 s.
+// Carry has clients ask for connections that were established before the run, each with at= and its server's UID, and waits
+// until each has its answer. It returns how many were not established within the 40 s that the protocol allows for this.
 func (c *Clients) Carry(ctx context.Context, arrivals []Arrival, servers func(i int) string) int {
-	up := make(chan bool, len(arrivals))
+	results := make(chan bool, len(arrivals))
 	for i, a := range arrivals {
-		c.startSession(ctx, a, 1<<40+uint64(i), &carriedConnection{servers(i), up})
-		time.Sleep(time.Millisecond) // a stagger, so that no queue at a listener overflows
+		c.startSession(ctx, a, 1<<40+uint64(i), &carriedConnection{servers(i), results})
+		time.Sleep(time.Millisecond) // spaced, so that no listener's queue overflows
 	}
 	lost := 0
 	for range arrivals {
-		if !<-up {
+		if !<-results {
 			lost++
 		}
 	}
 	return lost
 }
 
-// carriedConnection is where a connection stood before the run, and who waits to hear whether it does again.
+// carriedConnection is a connection that was established before the run: its server's UID, and the channel that is told whether
+// it is established again.
 type carriedConnection struct {
 	server      string
 	established chan<- bool
 }
 
-// Wait waits until all clients have ended.
+// Wait blocks until all clients have ended.
 func (c *Clients) Wait() { c.sessions.Wait() }
 
-// Start is when the run began, once it has.
+// Start blocks until the run has started and returns when that was, by the event log's clock.
 func (c *Clients) Start() Micros {
 	<-c.started
 	return c.start
 }
 
-func (c *Clients) startSession(ctx context.Context, a Arrival, number uint64, from *carriedConnection) {
+// startSession starts a client in the background. The client's random decisions depend on the seed and its number alone.
+func (c *Clients) startSession(ctx context.Context, a Arrival, number uint64, carried *carriedConnection) {
 	c.sessions.Add(1)
 	go func() {
 		defer c.sessions.Done()
-		s := &session{Clients: c, Arrival: a, ctx: ctx, start: c.start, carried: from, rng: rand.New(rand.NewPCG(c.seed, number))}
+		s := &session{Clients: c, Arrival: a, ctx: ctx, start: c.start, carried: carried, rng: rand.New(rand.NewPCG(c.seed, number))}
 		s.zone = s.drawZone()
 		s.heedsDelay = s.rng.Float64() < c.habits.HeedShare
 		s.run()
 	}()
 }
 
-// session is one client's wish to be connected, over as many connections as it takes.
+// session is one client, which keeps itself connected for its lifetime over as many connections as that takes.
 type session struct {
 	*Clients
 	Arrival
 	ctx        context.Context
-	start      Micros // the run's; that of carrying before it
+	start      Micros // of the run; 0, the event log's start, for a carried connection until the run has started
 	rng        *rand.Rand
 	zone       int
-	heedsDelay bool
-	carried    *carriedConnection
+	heedsDelay bool               // waits as long as a BUSY answer tells it
+	carried    *carriedConnection // until its first attempt; nil for an arrival of the run
 }
 
 func (s *session) drawZone() int {
@@ -138,7 +141,7 @@
 // now is the time since the run's start.
 func (s *session) now() Micros { return s.eventLog.Now() - s.start }
 
-// sleepUntil waits until a time of the run; false if the run is over by then.
+// sleepUntil waits until a time of the run. It returns false if the run is over by then or is broken off.
 func (s *session) sleepUntil(until Micros) bool {
 	if until >= s.length {
 		return false
@@ -146,6 +149,7 @@
 	return precisetimer.WaitUntil(s.eventLog.WallTime(s.start+until), s.ctx.Done())
 }
 
+// run connects, again and again, until the client's lifetime or the run is over or the client has given up.
 func (s *session) run() {
 	late := s.now() - s.At
 	if s.carried == nil {
@@ -157,34 +161,35 @@
 	gain := s.products[s.Product].Gain
 	until := min(s.At+s.Lifetime, s.length)
 	s.tally.AddWanted(s.At, until, gain)
-	meant := s.At // when this wish to be connected began
-	for back := false; ; back = true {
-		stood := s.connect(meant, until, back)
-		if !stood && s.habits.MeanReturnDelay <= 0 {
+	due := s.At // when the client was scheduled to ask
+	for again := false; ; again = true {
+		connected := s.connect(due, until, again)
+		if !connected && s.habits.MeanReturnDelay <= 0 {
 			return
 		}
 		wait := Micros(s.rng.Float64() * float64(s.habits.MaxRejoinDelay))
-		if !stood {
+		if !connected {
 			wait = Micros(s.rng.ExpFloat64() * float64(s.habits.MeanReturnDelay))
 		}
-		if meant = s.now() + wait; meant >= until || !s.sleepUntil(meant) {
+		if due = s.now() + wait; due >= until || !s.sleepUntil(due) {
 			return
 		}
 	}
 }
 
-// connect tries until a connection has stood and ended, or the retries are used up.
-func (s *session) connect(meant, until Micros, back bool) bool {
-	first := meant
+// connect makes attempts until one has established a connection and that has ended. It returns false if the retries were used
+// up or the time was over before. again tells that the client was connected or had given up before.
+func (s *session) connect(due, until Micros, again bool) bool {
+	firstDue := due
 	for try := 0; ; try++ {
-		at := s.carried
+		carried := s.carried
 		s.carried = nil
-		answer, wait := s.attempt(meant, first, until, try, back, at)
+		answer, wait := s.attempt(due, firstDue, until, try, again, carried)
 		if answer == established {
 			return true
 		}
-		if at != nil {
-			at.established <- false
+		if carried != nil {
+			carried.established <- false
 		}
 		if try >= s.habits.MaxRetries {
 			s.tally.GivenUp.Add(1)
@@ -193,31 +198,34 @@
 		if !s.heedsDelay || wait == 0 {
 			wait = Micros(s.rng.ExpFloat64() * float64(s.habits.MeanRetryDelay))
 		}
-		if meant = s.now() + wait; meant >= until || !s.sleepUntil(meant) {
+		if due = s.now() + wait; due >= until || !s.sleepUntil(due) {
 			return false
 		}
 		s.tally.Retries.Add(1)
 	}
 }
 
+// outcome is the result of an attempt.
 type outcome uint8
 
 const (
-	established outcome = iota
-	refused
-	failed
+	established outcome = iota // the connection was established, and has ended since
+	refused                    // answered with BUSY
+	failed                     // any other end
 )
 
-// lateAnswerWait is how long past its limit a client stays to see whether its answer is late: longer than what the rules
-// add to a limit.
+// lateAnswerWait is how long after the hard limit a client still waits for its answer, so that a late one is recorded. It is
+// longer than the tolerance by which the rules extend a limit.
 const lateAnswerWait = 500 * ledger.Millisecond
 
-// attempt asks once. meant is when this line was to be sent, first when the first of this wish was.
-func (s *session) attempt(meant, first, until Micros, try int, back bool, at *carriedConnection) (outcome, Micros) {
+// attempt connects, sends one request and handles the answer; a connection that is established lasts until the call returns.
+// due is when this request was scheduled, firstDue when the first one of this set-up was. With the outcome it returns how long
+// a BUSY answer told the client to wait.
+func (s *session) attempt(due, firstDue, until Micros, try int, again bool, carried *carriedConnection) (outcome, Micros) {
 	p := s.products[s.Product]
 	address, proxy, found := s.route(s.rng, s.zone, s.Group)
 	limit := p.HardLimit
-	if at != nil {
+	if carried != nil {
 		limit = 40 * ledger.Second
 	}
 	s.tally.Requests.Add(1)
@@ -230,9 +238,9 @@
 		s.tally.ConnectFailures.Add(1)
 		return failed, 0
 	}
-	leaves := at == nil && s.rng.Float64() < s.habits.LeaveShare
+	leaves := carried == nil && s.rng.Float64() < s.habits.LeaveShare
 	id := ledger.AttachmentID(s.rng.Uint64() | 1)
-	if at == nil && s.rng.Float64() < s.habits.IdleShare {
+	if carried == nil && s.rng.Float64() < s.habits.IdleShare {
 		connected := s.eventLog.Now()
 		if !s.idle() {
 			_ = conn.Close()
@@ -247,36 +255,36 @@
 	if try > 0 && s.habits.MarkRetries {
 		text += ",r=1"
 	}
-	if back {
+	if again {
 		text += ",again=1"
 	}
-	asked := ledger.Event{Kind: ledger.RequestSent, ID: id, Server: ledger.None, Proxy: proxy, Product: s.Product}
-	if at != nil {
-		text += ",at=" + at.server
+	request := ledger.Event{Kind: ledger.RequestSent, ID: id, Server: ledger.None, Proxy: proxy, Product: s.Product}
+	if carried != nil {
+		text += ",at=" + carried.server
 		s.record(ledger.CarriedOver, id, "")
 	}
-	asked.At = s.eventLog.Now()
-	asked.Value = int64(asked.At + limit)
+	request.At = s.eventLog.Now()
+	request.Value = int64(request.At + limit)
 	if _, err := conn.Write([]byte(text + "\r\n")); err != nil {
 		_ = conn.Close()
 		s.tally.ConnectFailures.Add(1)
 		return failed, 0
 	}
-	s.eventLog.Record(asked)
-	_ = conn.SetReadDeadline(s.eventLog.WallTime(Micros(asked.Value) + lateAnswerWait))
+	s.eventLog.Record(request)
+	_ = conn.SetReadDeadline(s.eventLog.WallTime(Micros(request.Value) + lateAnswerWait))
 	if leaves {
-		_ = conn.SetReadDeadline(s.eventLog.WallTime(asked.At + Micros(s.rng.Float64()*float64(limit)/2)))
+		_ = conn.SetReadDeadline(s.eventLog.WallTime(request.At + Micros(s.rng.Float64()*float64(limit)/2)))
 	}
 	in := &lineReader{in: bufio.NewReaderSize(conn, 512)}
 	line, err := in.next()
-	took := s.now() - meant
-	if at == nil {
+	took := s.now() - due
+	if carried == nil {
 		s.tally.AnswerLatency.Add(took)
 	}
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			_ = conn.Close()
-			s.record(ledger.ClientLeft, id, "no answer had come")
+			s.record(ledger.ClientLeft, id, "no answer was received")
 		} else {
 			s.record(ledger.ClientUnanswered, id, err.Error())
 		}
@@ -287,12 +295,12 @@
 	if strings.HasPrefix(line, "UP ") {
 		s.record(ledger.ClientReceivedUp, id, line)
 		s.tally.Established.Add(1)
-		if at == nil {
-			s.tally.SetUpLatency.Add(s.now() - first)
-			s.maintain(conn, in, id, until, s.now()-first <= p.QuotedSetUpTime)
+		if carried == nil {
+			s.tally.SetUpLatency.Add(s.now() - firstDue)
+			s.maintain(conn, in, id, until, s.now()-firstDue <= p.QuotedSetUpTime)
 			return established, 0
 		}
-		at.established <- true
+		carried.established <- true
 		select {
 		case <-s.started:
 			s.start = s.Clients.start
@@ -314,21 +322,23 @@
 	return failed, 0
 }
 
-// maxIdle is a little more than a proxy waits for a first line.
+// maxIdle bounds how long a connection is idle before its request. It is a little longer than a proxy waits for the first line.
 const maxIdle = 2700 * ledger.Millisecond
 
-// idle waits before a request is sent on a connection; false if the run is over by then.
+// idle waits for a random time of at most maxIdle. It returns false if the run is over by then.
 func (s *session) idle() bool {
 	return s.sleepUntil(s.now() + Micros(s.rng.Float64()*float64(maxIdle)))
 }
 
+// record records an event of an attachment that names no server, proxy or product.
 func (s *session) record(k ledger.Kind, id ledger.AttachmentID, note string) {
 	s.eventLog.Record(ledger.Event{Kind: k, ID: id, Server: ledger.None, Proxy: ledger.None, Product: ledger.None, Note: note})
 }
 
-// extraAnswerWait is how long a client that has its final answer listens on: long enough for a second one to be seen.
+// extraAnswerWait is how long a client keeps reading after its final answer: long enough to see a second one.
 const extraAnswerWait = 400 * time.Millisecond
 
+// watchForExtra records, in the background, whether anything follows the final answer, and closes the connection.
 func (s *session) watchForExtra(conn net.Conn, in *lineReader, id ledger.AttachmentID) {
 	s.sessions.Add(1)
 	go func() {
@@ -341,23 +351,23 @@
 	}()
 }
 
-// readDeadlineLead is how long before a message is due the read is broken off: the runtime's deadlines are late by up to a
-// millisecond.
+// readDeadlineLead is by how many microseconds a read's deadline precedes the time at which the next message is due: the
+// runtime's deadlines can be late by up to a millisecond.
 const readDeadlineLead = 1200
 
-// maintain keeps a connection until the client's time is over, or the connection's. It sends a line whenever one is
-// due, whether or not the last was answered.
-func (s *session) maintain(conn net.Conn, in *lineReader, id ledger.AttachmentID, until Micros, quick bool) {
+// maintain keeps an established connection until it ends or the client's time, until, is over. It sends a message whenever
+// one is due, whether or not the last one was answered. setUpInTime tells that the set-up took no longer than the quoted time.
+func (s *session) maintain(conn net.Conn, in *lineReader, id ledger.AttachmentID, until Micros, setUpInTime bool) {
 	defer conn.Close()
 	p := s.products[s.Product]
 	gain := p.Gain
-	seen := &answerTracker{session: s, id: id, inTime: quick}
-	counted := s.now() // since when the present stretch goes on
+	answers := &answerTracker{session: s, id: id, inTime: setUpInTime}
+	countedTo := s.now() // service is counted up to this time
 	count := func(to Micros) {
-		if seen.inTime {
-			s.tally.AddServed(counted, to, gain)
+		if answers.inTime {
+			s.tally.AddServed(countedTo, to, gain)
 		}
-		counted = to
+		countedTo = to
 	}
 	next := s.now() + Micros(s.rng.Float64()*float64(s.habits.MessageInterval))
 	sent := int64(0)
@@ -371,7 +381,7 @@
 			count(s.now())
 			return
 		case err == nil:
-			seen.lineReceived(line, p.QuotedMessageTime)
+			answers.lineReceived(line, p.QuotedMessageTime)
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			why := "by a reset"
 			if errors.Is(err, io.EOF) {
@@ -382,7 +392,7 @@
 			count(s.now())
 			return
 		case s.now()+readDeadlineLead >= until || s.ctx.Err() != nil:
-			precisetimer.WaitUntil(s.eventLog.WallTime(s.start+until), s.ctx.Done()) // or there would be time left to come again
+			precisetimer.WaitUntil(s.eventLog.WallTime(s.start+until), s.ctx.Done()) // returning early would leave time to connect again
 			s.record(ledger.ClientLeft, id, "")
 			count(s.now())
 			return
@@ -391,29 +401,32 @@
 			s.tally.MessageLateness.Add(s.now() - next)
 			count(s.now())
 			sent++
-			seen.messageSent(next)
+			answers.messageSent(next)
 			s.tally.Messages.Add(1)
-			// A failure comes as the end of the connection.
+			// The error is not needed: after a failed write the next read reports the end of the connection.
 			_, _ = conn.Write([]byte(fleet.FormatLine("M", sent, int64(s.eventLog.Now()))))
 			next += s.habits.MessageInterval
 		}
 	}
 }
 
-// answerTracker follows what a standing connection brings back.
+// answerTracker checks the lines that an established connection brings back and tells whether the service is in time.
 type answerTracker struct {
 	*session
 	id                      ledger.AttachmentID
-	unanswered              []Micros // when messages were meant to be sent that have no answer yet
-	lastMessage, lastAnswer int64    // the last message answered, and the server's own count
-	inTime                  bool     // the last message was answered in time, or none has been sent yet
+	unanswered              []Micros // when each message without an answer was scheduled, oldest first
+	lastMessage, lastAnswer int64    // the number of the last answered message, and the server's number of its answer
+	inTime                  bool     // all messages were answered and the last one in time; before the first message: the set-up was in time
 }
 
-func (r *answerTracker) messageSent(meant Micros) {
-	r.unanswered = append(r.unanswered, meant)
+// messageSent notes a message that was scheduled for a time.
+func (r *answerTracker) messageSent(due Micros) {
+	r.unanswered = append(r.unanswered, due)
 	r.inTime = false
 }
 
+// lineReceived handles a line from the server: an answer, which is recorded if it was changed, duplicated, lost or delayed on its
+// way, or a report of the server's load, which is skipped. quoted is the time within which an answer is in time.
 func (r *answerTracker) lineReceived(line string, quoted Micros) {
 	if strings.HasPrefix(line, "LOAD ") {
 		return
@@ -430,12 +443,12 @@
 		r.record(ledger.LineLost, r.id, fmt.Sprintf("at the client: %q after number %d", line, r.lastAnswer))
 	}
 	r.lastMessage, r.lastAnswer = numbers[0], numbers[1]
-	if held := r.eventLog.Now() - Micros(numbers[2]); held > ledger.Second {
+	if delay := r.eventLog.Now() - Micros(numbers[2]); delay > ledger.Second {
 		r.eventLog.Record(ledger.Event{Kind: ledger.LineDelayed, ID: r.id, Server: ledger.None, Proxy: ledger.None, Product: ledger.None,
-			Value: int64(held), Note: fmt.Sprintf("on the way to the client, for %s", held)})
+			Value: int64(delay), Note: fmt.Sprintf("on the way to the client, for %s", delay)})
 	}
 	if len(r.unanswered) == 0 {
-		r.record(ledger.LineDuplicated, r.id, "an answer to nothing: "+line)
+		r.record(ledger.LineDuplicated, r.id, "an answer without a message: "+line)
 		return
 	}
 	took := r.now() - r.unanswered[0]
@@ -444,12 +457,13 @@
 	r.inTime = took <= quoted && len(r.unanswered) == 0
 }
 
-// lineReader reads lines and keeps what has come of one when a deadline comes between.
+// lineReader reads lines. What was read of a line before a deadline passed is kept for the next call.
 type lineReader struct {
 	in      *bufio.Reader
 	partial []byte
 }
 
+// next returns the next line without its line ending.
 func (l *lineReader) next() (string, error) {
 	part, err := l.in.ReadSlice('\n')
 	l.partial = append(l.partial, part...)
--- a/lab/load/tally.go
+++ b/lab/load/tally.go
@@ -10,95 +10,103 @@
 	"hatchproxy/lab/ledger"
 )
 
-// Histogram is a latency's histogram: microseconds, up to two minutes, three digits.
+// Histogram counts latencies of 1 µs to two minutes with three significant digits. It may be used from several goroutines.
 type Histogram struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
 }
 
+// maxLatencyMicros is the highest latency that a histogram tells apart; higher ones are counted as this.
 const maxLatencyMicros = 120_000_000
 
-// NewHistogram makes an empty one.
+// NewHistogram returns an empty histogram.
 func NewHistogram() *Histogram {
 	return &Histogram{histogram: hdrhistogram.New(1, maxLatencyMicros, 3)}
 }
 
-// Add counts a latency.
-func (s *Histogram) Add(took Micros) {
+// Add counts one latency.
+func (s *Histogram) Add(latency Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = s.histogram.RecordValue(min(max(1, int64(took)), maxLatencyMicros)) // within its bounds by that
+	_ = s.histogram.RecordValue(min(max(1, int64(latency)), maxLatencyMicros)) // fails only for values out of bounds
 }
 
-// Quantile is the quantile q, from 0 to 1; 0 where nothing was counted.
+// Quantile returns the latency at the quantile q, from 0 to 1, or 0 if nothing was counted.
 func (s *Histogram) Quantile(q float64) Micros {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Micros(s.histogram.ValueAtQuantile(100 * q))
 }
 
-// Count is how many were counted; Over how many took longer than a time, to the histogram's three digits.
+// Count returns how many latencies were counted.
 func (s *Histogram) Count() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.histogram.TotalCount()
 }
 
-func (s *Histogram) CountAbove(took Micros) int64 {
+// CountAbove returns how many latencies were longer than a bound, to the histogram's three digits.
+func (s *Histogram) CountAbove(bound Micros) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := int64(0)
 	for _, bar := range s.histogram.Distribution() {
-		if bar.From > int64(took) {
+		if bar.From > int64(bound) {
 			n += bar.Count
 		}
 	}
 	return n
 }
 
-// Tally is what the clients of a run came to. It may be added to from anywhere.
+// Tally counts what the clients of a run requested and received. It may be used from several goroutines.
 type Tally struct {
-	SetUpLatency    *Histogram // from when a connection was meant to be asked for, the first time, until it stood
-	AnswerLatency   *Histogram // from when a line was meant to be sent until its final answer; the wait of those without one
-	MessageLatency  *Histogram // from when a message was meant to be sent until its answer
-	ArrivalLateness *Histogram // the generator's own: from when an arrival was meant to be sent until it was
-	MessageLateness *Histogram // the same for messages
-
+	SetUpLatency    *Histogram // from the scheduled time of a set-up's first request until the connection was established
+	AnswerLatency   *Histogram // from a request's scheduled time until its final answer, or until the client stopped waiting
+	MessageLatency  *Histogram // from a message's scheduled time until its answer
+	ArrivalLateness *Histogram // by how much the load generator itself was late with an arrival
+	MessageLateness *Histogram // by how much the load generator itself was late with a message
+
+	// Requests counts all attempts. Each of them ends as one of Established, Busy (refused with BUSY), Failed (another
+	// answer), Unanswered or ConnectFailures (nothing to connect to, or a failed connect or write), or with the run.
+	// Established connections that the other side ended are counted as Moves (with MOVE) or Disconnects (without), set-ups
+	// whose retries were used up as GivenUp.
 	Requests, Established, Busy, Failed, Unanswered, ConnectFailures, Retries, Moves, Disconnects, GivenUp, Messages atomic.Int64
 
 	length           Micros
-	wantedBySecond   []atomic.Int64 // microseconds that clients wanted, by second, times gain in thousandths
-	servedBySecond   []atomic.Int64
+	wantedBySecond   []atomic.Int64 // microseconds in which clients wanted to be connected, times gain
+	servedBySecond   []atomic.Int64 // microseconds in which they were and were served in time, times gain
 	arrivalsBySecond []atomic.Int64
 }
 
-// NewTally makes one for a run of a length.
+// NewTally returns an empty tally for a run of the given length.
 func NewTally(length Micros) *Tally {
 	n := int(length/ledger.Second) + 1
 	return &Tally{SetUpLatency: NewHistogram(), AnswerLatency: NewHistogram(), MessageLatency: NewHistogram(), ArrivalLateness: NewHistogram(), MessageLateness: NewHistogram(),
 		length: length, wantedBySecond: make([]atomic.Int64, n), servedBySecond: make([]atomic.Int64, n), arrivalsBySecond: make([]atomic.Int64, n)}
 }
 
-// addInterval adds a stretch of time to the seconds that it lies in.
-func (t *Tally) addInterval(into []atomic.Int64, from, to Micros, gain float64) {
+// addInterval adds the time from from to to, times gain, to the counts of the seconds that it lies in.
+func (t *Tally) addInterval(counts []atomic.Int64, from, to Micros, gain float64) {
 	to = min(to, t.length)
 	for from < to {
 		second := from / ledger.Second
 		next := min(to, (second+1)*ledger.Second)
-		into[second].Add(int64(math.Round(float64(next-from) * gain)))
+		counts[second].Add(int64(math.Round(float64(next-from) * gain)))
 		from = next
 	}
 }
 
-// AddWanted and Served count a stretch of time that a client wanted to be connected, or was and well.
+// AddWanted counts a time during which a client wanted to be connected.
 func (t *Tally) AddWanted(from, to Micros, gain float64) {
 	t.addInterval(t.wantedBySecond, from, to, gain)
 }
+
+// AddServed counts a time during which a client was connected and served in time.
 func (t *Tally) AddServed(from, to Micros, gain float64) {
 	t.addInterval(t.servedBySecond, from, to, gain)
 }
 
-// ServedShareBySecond is the share of the gain that was served in each second, not a number where none was asked for.
+// ServedShareBySecond returns the share of the wanted gain that was served in each second, NaN where none was wanted.
 func (t *Tally) ServedShareBySecond() []float64 {
 	share := make([]float64, len(t.wantedBySecond))
 	for i := range share {
@@ -107,7 +115,7 @@
 	return share
 }
 
-// ArrivalsBySecond is how many came in each second.
+// ArrivalsBySecond returns how many clients arrived in each second.
 func (t *Tally) ArrivalsBySecond() []float64 {
 	n := make([]float64, len(t.arrivalsBySecond))
 	for i := range n {
@@ -116,18 +124,19 @@
 	return n
 }
 
-// ServedShare is the share served of all that was asked for from a time on.
+// ServedShare returns the share of the wanted gain that was served in the seconds that begin from from until to.
 func (t *Tally) ServedShare(from, to Micros) float64 {
-	var asked, served int64
+	var wanted, served int64
 	for i := range t.wantedBySecond {
 		if at := Micros(i) * ledger.Second; at >= from && at < to {
-			asked, served = asked+t.wantedBySecond[i].Load(), served+t.servedBySecond[i].Load()
+			wanted, served = wanted+t.wantedBySecond[i].Load(), served+t.servedBySecond[i].Load()
 		}
 	}
-	return float64(served) / float64(asked)
+	return float64(served) / float64(wanted)
 }
 
-// WorstServedShare is the least share served in any stretch of so many seconds in which anything was asked for.
+// WorstServedShare returns the lowest share that was served in any stretch of the given number of seconds in which some gain was
+// wanted, or NaN if there is none.
 func (t *Tally) WorstServedShare(seconds int) float64 {
 	worst := math.NaN()
 	for i := 0; i+seconds <= len(t.wantedBySecond); i++ {
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -10,13 +10,13 @@
 	"strings"
 )
 
-// traceHeader is a trace's first line; the number is the format's version. Then comes a line for each arrival, in the
-// order of time: at, in microseconds from the start; the product's name; the group, 0 for none, and the key, both in
-// hexadecimal; how long the client wants to be connected, in microseconds. Lines that begin with # and empty ones
-// are passed over.
+// traceHeader is the first line of a trace file; its number is the version of the format. A line for each arrival follows, in
+// the order of time, with the columns at (microseconds from the run's start), product (its name), group (hexadecimal,
+// 0 for none), key (hexadecimal) and life (how long the client wants to be connected, in microseconds). Lines that begin
+// with # and empty lines are skipped.
 const traceHeader = "hatchlab-trace 1"
 
-// WriteTrace writes arrivals down.
+// WriteTrace writes arrivals in the trace format. It returns the first error of w.
 func WriteTrace(w io.Writer, arrivals []Arrival, products []Product) error {
 	out := bufio.NewWriter(w)
 	fmt.Fprintln(out, traceHeader)
@@ -27,80 +27,82 @@
 	return out.Flush()
 }
 
-// mostArrivals bounds what a trace may hold; longestLine what a line of it may.
+// Bounds of a trace file: the number of its arrivals, and the bytes of a line.
 const (
 	maxTraceArrivals = 10_000_000
 	maxTraceLine     = 4096
 )
 
-// ReadTrace reads what WriteTrace wrote. What is wrong is told with its line, and nothing is returned then.
+// ReadTrace reads arrivals in the trace format. An error begins with the file's name and the number of the line; no arrivals are
+// returned with it.
 func ReadTrace(r io.Reader, name string, products []Product) ([]Arrival, error) {
 	in := bufio.NewScanner(r)
 	in.Buffer(make([]byte, maxTraceLine), maxTraceLine)
-	var found []Arrival
-	number := 0
-	wrong := func(why error) ([]Arrival, error) { return nil, fmt.Errorf("%s:%d: %w", name, number, why) }
+	var arrivals []Arrival
+	lineNumber := 0
+	fail := func(err error) ([]Arrival, error) { return nil, fmt.Errorf("%s:%d: %w", name, lineNumber, err) }
 	for in.Scan() {
-		number++
+		lineNumber++
 		line := in.Text()
 		switch {
-		case number == 1:
+		case lineNumber == 1:
 			if line != traceHeader {
-				return wrong(fmt.Errorf("a trace begins with %q", traceHeader))
+				return fail(fmt.Errorf("the first line is not %q", traceHeader))
 			}
 		case line == "" || line[0] == '#':
 		default:
 			a, err := parseArrival(line, products)
 			if err != nil {
-				return wrong(err)
+				return fail(err)
 			}
-			if len(found) > 0 && a.At < found[len(found)-1].At {
-				return wrong(errors.New("it comes before the line above"))
+			if len(arrivals) > 0 && a.At < arrivals[len(arrivals)-1].At {
+				return fail(errors.New("the time is before that of the line above"))
 			}
-			if len(found) == maxTraceArrivals {
-				return wrong(fmt.Errorf("more than %d arrivals", maxTraceArrivals))
+			if len(arrivals) == maxTraceArrivals {
+				return fail(fmt.Errorf("more than %d arrivals", maxTraceArrivals))
 			}
-			found = append(found, a)
+			arrivals = append(arrivals, a)
 		}
 	}
 	if err := in.Err(); err != nil {
-		number++
-		return wrong(err)
+		lineNumber++
+		return fail(err)
 	}
-	if number == 0 {
-		number = 1
-		return wrong(errors.New("it is empty"))
+	if lineNumber == 0 {
+		lineNumber = 1
+		return fail(errors.New("the file is empty"))
 	}
-	return found, nil
+	return arrivals, nil
 }
 
+// parseArrival parses the line of an arrival.
 func parseArrival(line string, products []Product) (Arrival, error) {
 	var a Arrival
-	words := strings.Fields(line)
-	if len(words) != 5 {
-		return a, fmt.Errorf("%d words, and not the five: at product group key life", len(words))
+	columns := strings.Fields(line)
+	if len(columns) != 5 {
+		return a, fmt.Errorf("%d columns instead of 5: at product group key life", len(columns))
 	}
-	a.Product = slices.IndexFunc(products, func(p Product) bool { return p.Name == words[1] })
+	a.Product = slices.IndexFunc(products, func(p Product) bool { return p.Name == columns[1] })
 	if a.Product < 0 {
-		return a, fmt.Errorf("the product %.40q is unknown", words[1])
+		return a, fmt.Errorf("unknown product %.40q", columns[1])
 	}
-	for _, part := range []struct {
+	for _, column := range []struct {
 		name, word string
 		base       int
-		into       func(uint64)
+		set        func(uint64)
 	}{
-		{"at", words[0], 10, func(x uint64) { a.At = Micros(x) }}, {"group", words[2], 16, func(x uint64) { a.Group = x }},
-		{"key", words[3], 16, func(x uint64) { a.Key = x }}, {"life", words[4], 10, func(x uint64) { a.Lifetime = Micros(x) }},
+		{"at", columns[0], 10, func(x uint64) { a.At = Micros(x) }}, {"group", columns[2], 16, func(x uint64) { a.Group = x }},
+		{"key", columns[3], 16, func(x uint64) { a.Key = x }}, {"life", columns[4], 10, func(x uint64) { a.Lifetime = Micros(x) }},
 	} {
 		bits := 64
-		if part.base == 10 {
-			bits = 62 // a time must not turn out below 0, nor two of them together
+		if column.base == 10 {
+			bits = 62 // neither a time nor the sum of two may overflow to a negative value
 		}
-		x, err := strconv.ParseUint(part.word, part.base, bits)
+		x, err := strconv.ParseUint(column.word, column.base, bits)
 		if err != nil {
-			return a, fmt.Errorf("%s: %.40q is no such number", part.name, part.word)
+			return a, fmt.Errorf("%s: %.40q is not a valid number", column.name, column.word)
 		}
-		part.into(x)
+		column.set(x)
 	}
 	return a, nil
 }
