--- a/lab/ledger/judge.go
+++ b/lab/ledger/judge.go
@@ -6,62 +6,64 @@
 	"slices"
 )
 
-// Idempotency says what a second run of a product would do.
+// Idempotency says what happens if a request of a product runs twice.
 type Idempotency uint8
 
 const (
-	Harmless Idempotency = iota
-	Stamped
-	OneShot
+	Harmless Idempotency = iota // running it again changes nothing
+	Stamped                     // servers recognize a repeat by its stamp and drop it
+	OneShot                     // it must not run twice
 )
 
-// DedupScope is the set of servers that drops the repeats of a stamped product.
+// DedupScope is the set of servers that recognize and drop repeats of a stamped request.
 type DedupScope uint8
 
 const (
-	DedupAll DedupScope = iota
-	DedupZone
-	DedupCell
+	DedupAll  DedupScope = iota // all servers
+	DedupZone                   // those in the zone of the first server
+	DedupCell                   // those in the cell of the first server
 )
 
-// Product is what the rules need to know of a product.
+// Product holds the properties of a product that the rules depend on.
 type Product struct {
 	Name        string
 	Idempotency Idempotency
 	DedupScope  DedupScope
-	DedupWindow Micros // how long a stamp is remembered
+	DedupWindow Micros // how long servers remember a stamp; 0 for no bound
 }
 
-// ServerLocation is where a server stands.
+// ServerLocation is the zone and the cell that a server belongs to.
 type ServerLocation struct{ Zone, Cell int }
 
-// Parameters are the figures of the rules on one site.
+// Parameters holds what the rules depend on in a run.
 type Parameters struct {
 	Products      []Product
 	Servers       []ServerLocation
-	DrainGrace    Micros // a drain's
-	MaxDispatches int    // the most for an attachment
-	End           Micros // the run's; what had no time to happen by then is no breach
+	DrainGrace    Micros // how long after it was told of a drain a proxy may still use the server
+	MaxDispatches int    // for one attachment; 0 for no bound
+	End           Micros // of the run: what was not yet due by then is no breach
 }
 
 const (
-	// tolerance is what the protocol's page adds to each time limit on sockets.
+	// tolerance is what the protocol adds to each time limit that is observed on sockets.
 	tolerance = 50 * Millisecond
-	// endsWithin, silentWithin are the protocol's: an end is passed on within 1 s, a silence ends within 7 s.
+	// maxEndDelay and maxSilence are limits of the protocol: how soon a client learns that its server has ended the connection,
+	// and how long it stays at a server that sends nothing.
 	maxEndDelay = Second
 	maxSilence  = 7 * Second
-	// maxAnswerDelay is how soon a final answer comes once nothing more is permitted: a way to another zone and back and
-	// the loop's turn take some milliseconds, and a proxy that sits on an answer does so for much longer.
+	// maxAnswerDelay is how soon the final answer is due once no further dispatch is allowed. A round trip to another zone and the
+	// proxy's event loop take some milliseconds; a proxy that withholds an answer does so for much longer.
 	maxAnswerDelay = 250 * Millisecond
-	// maxDispatchAfterLeave is how long after a client has left a first byte for it may still go out.
+	// maxDispatchAfterLeave is how long after a client has left a dispatch for it may still be sent.
 	maxDispatchAfterLeave = 100 * Millisecond
-	// maxOpenAfterAnswer is how long a dispatch may stay out after the final answer: its end is on its way at once.
+	// maxOpenAfterAnswer is how long a dispatch may stay open after the final answer; a proxy ends it at once.
 	maxOpenAfterAnswer = Second
 )
 
-// Rule names a rule.
+// Rule is the name of a rule in reports and figures.
 type Rule string
 
+// The rules.
 const (
 	OneAnswer               Rule = "one-final-answer"
 	NothingAfterAnswer      Rule = "nothing-after-the-answer"
@@ -80,22 +82,24 @@
 	NothingAfterLeave       Rule = "nothing-for-who-left"
 )
 
-// Rules are all, in the order in which they are reported.
+// Rules lists all rules, in the order in which they are reported.
 var Rules = []Rule{OneAnswer, NothingAfterAnswer, LateAnswer, WithheldAnswer, ConcurrentDispatches, RepeatedEffect, OutsideDedupScope, DispatchLimit, DrainRespected,
 	ColdServerNotOverloaded, NoCutWithoutMove, EndPassedOn, SilenceEnds, LinesUnchanged, NothingAfterLeave}
 
-// ByOrder is the note of what a proxy was told by an order and not by the list: each stands until its own word ends it.
+// ByOrder is the Note of a StateAnnounced event whose state was set by an operator's order instead of the server list. The two
+// are independent: a drain by order ends by an order alone, one of the list by the list alone.
 const ByOrder = "by order"
 
-// Breach is a broken rule with all that was seen of it, in the order of time.
+// Breach is one violation of a rule, with the events that show it in the order of time.
 type Breach struct {
 	Rule     Rule
 	At       Micros
-	ID       AttachmentID
+	ID       AttachmentID // 0 if the breach belongs to no single attachment
 	Reason   string
 	Evidence []Event
 }
 
+// String returns the breach with its events, one a line.
 func (b Breach) String() string {
 	text := fmt.Sprintf("%s: %s", b.Rule, b.Reason)
 	if b.ID != 0 {
@@ -107,45 +111,45 @@
 	return text
 }
 
-// interval is a stretch of time.
+// interval is the time from one moment to another.
 type interval struct{ from, to Micros }
 
-// checker is a judgement under way.
+// checker checks one event log.
 type checker struct {
 	parameters    Parameters
-	pauses        map[int][]interval    // of proxies, by the rig itself: what is late then is not theirs
-	linkCuts      map[[2]int][]interval // by proxy and zone: what passed there was held by the rig
-	kills         map[int][]Micros
-	announcements map[[2]int][]Event // by proxy and server
+	pauses        map[int][]interval    // by proxy: the rig stopped its process, so delays are not the proxy's
+	linkCuts      map[[2]int][]interval // by proxy and zone: the rig held back all traffic
+	kills         map[int][]Micros      // by proxy: the rig killed its process
+	announcements map[[2]int][]Event    // by proxy and server: the states that the proxy was told
 	breaches      []Breach
 }
 
-// FindBreaches finds all breaches in a record that is in the order of time.
-func FindBreaches(events []Event, terms Parameters) []Breach {
-	t := &checker{parameters: terms, pauses: map[int][]interval{}, linkCuts: map[[2]int][]interval{}, kills: map[int][]Micros{}, announcements: map[[2]int][]Event{}}
+// FindBreaches returns all violations of the rules, in the order of time. The events must be in the order of time, too.
+func FindBreaches(events []Event, parameters Parameters) []Breach {
+	c := &checker{parameters: parameters, pauses: map[int][]interval{}, linkCuts: map[[2]int][]interval{}, kills: map[int][]Micros{}, announcements: map[[2]int][]Event{}}
 	byID := map[AttachmentID][]Event{}
 	for _, e := range events {
 		switch e.Kind {
 		case ProxyPaused:
-			t.pauses[e.Proxy] = append(t.pauses[e.Proxy], interval{e.At, terms.End})
+			c.pauses[e.Proxy] = append(c.pauses[e.Proxy], interval{e.At, parameters.End})
 		case ProxyResumed:
-			if s := t.pauses[e.Proxy]; len(s) > 0 {
+			if s := c.pauses[e.Proxy]; len(s) > 0 {
 				s[len(s)-1].to = e.At
 			}
 		case LinkCut:
-			way := [2]int{e.Proxy, int(e.Value)}
-			t.linkCuts[way] = append(t.linkCuts[way], interval{e.At, terms.End})
+			link := [2]int{e.Proxy, int(e.Value)}
+			c.linkCuts[link] = append(c.linkCuts[link], interval{e.At, parameters.End})
 		case LinkRestored:
-			if s := t.linkCuts[[2]int{e.Proxy, int(e.Value)}]; len(s) > 0 {
+			if s := c.linkCuts[[2]int{e.Proxy, int(e.Value)}]; len(s) > 0 {
 				s[len(s)-1].to = e.At
 			}
 		case ProxyKilled:
-			t.kills[e.Proxy] = append(t.kills[e.Proxy], e.At)
+			c.kills[e.Proxy] = append(c.kills[e.Proxy], e.At)
 		case StateAnnounced:
-			at := [2]int{e.Proxy, e.Server}
-			t.announcements[at] = append(t.announcements[at], e)
+			proxyAndServer := [2]int{e.Proxy, e.Server}
+			c.announcements[proxyAndServer] = append(c.announcements[proxyAndServer], e)
 		case ColdServerOverloaded:
-			t.checkColdServer(events, e)
+			c.checkColdServer(events, e)
 		}
 		if e.ID != 0 {
 			byID[e.ID] = append(byID[e.ID], e)
@@ -157,20 +161,22 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		t.checkAttachment(id, byID[id])
+		c.checkAttachment(id, byID[id])
 	}
-	slices.SortStableFunc(t.breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
-	return t.breaches
+	slices.SortStableFunc(c.breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
+	return c.breaches
 }
 
-func (t *checker) report(r Rule, at Micros, id AttachmentID, evidence []Event, format string, a ...any) {
-	t.breaches = append(t.breaches, Breach{r, at, id, fmt.Sprintf(format, a...), evidence})
+// report adds a breach.
+func (c *checker) report(r Rule, at Micros, id AttachmentID, evidence []Event, format string, a ...any) {
+	c.breaches = append(c.breaches, Breach{r, at, id, fmt.Sprintf(format, a...), evidence})
 }
 
-// pausedTime is how long the rig held a proxy within a stretch of time, and what it needed to catch up.
-func (t *checker) pausedTime(proxy int, from, to Micros) Micros {
+// pausedTime returns for how long the rig stopped a proxy within an interval, with the tolerance for each time that it needed to
+// catch up.
+func (c *checker) pausedTime(proxy int, from, to Micros) Micros {
 	var sum Micros
-	for _, s := range t.pauses[proxy] {
+	for _, s := range c.pauses[proxy] {
 		if overlap := min(s.to, to) - max(s.from, from); overlap > 0 {
 			sum += overlap + tolerance
 		}
@@ -178,12 +184,13 @@
 	return sum
 }
 
-// lastLinkCut is the last stretch that began by a time in which a proxy's way to a server was cut, and how long it was before then.
-func (t *checker) lastLinkCut(proxy, server int, by Micros) (found interval, lasted Micros) {
-	if server < 0 || server >= len(t.parameters.Servers) {
+// lastLinkCut returns the last interval beginning no later than by in which a proxy was cut off from a server, and how much of
+// it had passed by then.
+func (c *checker) lastLinkCut(proxy, server int, by Micros) (found interval, lasted Micros) {
+	if server < 0 || server >= len(c.parameters.Servers) {
 		return interval{}, 0
 	}
-	for _, s := range t.linkCuts[[2]int{proxy, t.parameters.Servers[server].Zone}] {
+	for _, s := range c.linkCuts[[2]int{proxy, c.parameters.Servers[server].Zone}] {
 		if s.from <= by {
 			found, lasted = s, min(s.to, by)-s.from
 		}
@@ -191,62 +198,65 @@
 	return found, lasted
 }
 
-// wasKilled tells whether the rig killed a proxy within a stretch of time.
-func (t *checker) wasKilled(proxy int, from, to Micros) bool {
-	return slices.ContainsFunc(t.kills[proxy], func(at Micros) bool { return at >= from-tolerance && at <= to+tolerance })
+// wasKilled reports whether the rig killed a proxy within an interval, give or take the tolerance.
+func (c *checker) wasKilled(proxy int, from, to Micros) bool {
+	return slices.ContainsFunc(c.kills[proxy], func(at Micros) bool { return at >= from-tolerance && at <= to+tolerance })
 }
 
-// dispatch is one try at a server, as that saw it.
+// dispatch is one attempt at a server, as the server saw it.
 type dispatch struct {
 	server     int
 	arrivedAt  Micros
-	completeAt Micros // 0 if the line never came whole
-	endedAt    Micros // when it was out no more; 0 if never
-	refused    bool
+	completeAt Micros // when the whole line was received; 0 if never
+	endedAt    Micros // when the server answered or the connection ended; 0 if never
+	refused    bool   // answered with BUSY
 	ran        bool
 }
 
+// mayHaveRun reports whether the server executed the request, or received it whole and did not refuse it.
 func (d dispatch) mayHaveRun() bool { return d.ran || d.completeAt != 0 && !d.refused }
 
-// attachment is an attachment as all sides saw it.
+// attachment is what all sides saw of an attachment.
 type attachment struct {
 	id              AttachmentID
 	events          []Event
 	request, answer *Event
-	connectedAt     Micros // when its connection came up, where that was before it asked
-	extra           *Event
-	moved, ended    *Event
-	left            *Event
-	carried         bool
+	connectedAt     Micros // when its connection came up; the time of the request if that is not known
+	extra           *Event // the first thing received after the final answer
+	moved, ended    *Event // a MOVE; the end of the established connection by the other side
+	left            *Event // the client's own end of its connection
+	carried         bool   // it was established before the run
 	proxy           int
 	dispatches      []dispatch
-	upLine          string // the server's
-	upServer        int
-	silentAt        Micros
-	silent          bool
+	upLine          string // the line UP as a server sent it
+	upServer        int    // that server
+	silentAt        Micros // when the server last fell silent
+	silent          bool   // and it is still silent
 	serverEnd       *Event
-	proxyEnd        *Event // the proxy ended the standing connection at the server
+	proxyEnd        *Event // the proxy ended the connection to the server
 	serverWasSilent bool
 }
 
+// newAttachment collects what the events of an attachment, in the order of time, say about it.
 func newAttachment(id AttachmentID, events []Event) *attachment {
 	a := &attachment{id: id, events: events, proxy: None, upServer: None}
-	open := map[int]int{} // server to its latest dispatch
-	last := func(server int) *dispatch {
-		if i, known := open[server]; known {
+	latestIndex := map[int]int{} // by server: the index of its latest dispatch
+	latest := func(server int) *dispatch {
+		if i, known := latestIndex[server]; known {
 			return &a.dispatches[i]
 		}
 		return nil
 	}
-	// first is the oldest that is still out: where one follows another at the same server, their connections end in the
-	// order in which they came, though the server may see the end of one just after the beginning of the next.
-	first := func(server int) *dispatch {
+	// oldestOpen returns the oldest dispatch at a server that is still open, or the latest one if none is. Where two follow each other at
+	// one server, their connections end in the order in which they began, though the server may see the end of the first just
+	// after the beginning of the second.
+	oldestOpen := func(server int) *dispatch {
 		for i := range a.dispatches {
 			if d := &a.dispatches[i]; d.server == server && d.endedAt == 0 {
 				return d
 			}
 		}
-		return last(server)
+		return latest(server)
 	}
 	for i := range events {
 		e := &events[i]
@@ -277,14 +287,14 @@
 		case ClientLeft:
 			a.left = e
 		case DispatchArrived:
-			open[e.Server] = len(a.dispatches)
+			latestIndex[e.Server] = len(a.dispatches)
 			a.dispatches = append(a.dispatches, dispatch{server: e.Server, arrivedAt: e.At})
 		case ServerSilent:
 			a.silent, a.silentAt, a.serverWasSilent = true, e.At, true
 		case ServerResumed:
 			a.silent = false
 		}
-		d := last(e.Server)
+		d := latest(e.Server)
 		if d == nil {
 			continue
 		}
@@ -305,7 +315,7 @@
 				a.serverEnd = e
 			}
 		case ProxyClosed:
-			d = first(e.Server)
+			d = oldestOpen(e.Server)
 			d.endedAt = firstNonZero(d.endedAt, e.At)
 			a.proxyEnd = e
 		}
@@ -313,6 +323,7 @@
 	return a
 }
 
+// firstNonZero returns a, or b if a is 0.
 func firstNonZero(a, b Micros) Micros {
 	if a != 0 {
 		return a
@@ -320,156 +331,161 @@
 	return b
 }
 
-func (t *checker) checkAttachment(id AttachmentID, events []Event) {
+// checkAttachment checks all rules that concern a single attachment.
+func (c *checker) checkAttachment(id AttachmentID, events []Event) {
 	a := newAttachment(id, events)
 	if a.request != nil {
-		t.checkAnswer(a)
+		c.checkAnswer(a)
 	}
-	t.checkDispatches(a)
-	t.checkDrains(a)
-	t.checkEstablished(a)
+	c.checkDispatches(a)
+	c.checkDrains(a)
+	c.checkEstablished(a)
 	for _, e := range events {
 		if e.Kind >= LineDelayed && e.Kind <= LineChanged {
-			if e.Kind == LineDelayed && t.pausedTime(a.proxy, e.At-Micros(e.Value)-tolerance, e.At) > 0 {
+			if e.Kind == LineDelayed && c.pausedTime(a.proxy, e.At-Micros(e.Value)-tolerance, e.At) > 0 {
 				continue
 			}
-			if s, lasted := t.lastLinkCut(a.proxy, e.Server, e.At); e.Kind == LineDelayed && lasted > 0 && s.to+tolerance > e.At-Micros(e.Value) {
+			if s, lasted := c.lastLinkCut(a.proxy, e.Server, e.At); e.Kind == LineDelayed && lasted > 0 && s.to+tolerance > e.At-Micros(e.Value) {
 				continue
 			}
-			t.report(LinesUnchanged, e.At, id, events, "%s: %s", e.Kind, e.Note)
+			c.report(LinesUnchanged, e.At, id, events, "%s: %s", e.Kind, e.Note)
 		}
 	}
 }
 
-// checkAnswer judges the final answer.
-func (t *checker) checkAnswer(a *attachment) {
+// checkAnswer checks the rules about the final answer.
+func (c *checker) checkAnswer(a *attachment) {
 	limit := Micros(a.request.Value)
-	paused := t.pausedTime(a.proxy, a.request.At, limit+10*Second)
+	paused := c.pausedTime(a.proxy, a.request.At, limit+10*Second)
 	switch {
 	case a.answer == nil:
-		t.checkAbandoned(a)
-		if a.left == nil && limit+paused+tolerance < t.parameters.End && !t.wasKilled(a.proxy, a.request.At, limit) {
-			t.report(OneAnswer, limit, a.id, a.events, "no final answer by the hard limit")
+		c.checkAbandoned(a)
+		if a.left == nil && limit+paused+tolerance < c.parameters.End && !c.wasKilled(a.proxy, a.request.At, limit) {
+			c.report(OneAnswer, limit, a.id, a.events, "no final answer by the hard limit")
 		}
-		if a.left != nil && a.left.At > limit+paused+tolerance && !t.wasKilled(a.proxy, a.request.At, limit) {
-			t.report(OneAnswer, limit, a.id, a.events, "no final answer by the hard limit, the client gave up")
+		if a.left != nil && a.left.At > limit+paused+tolerance && !c.wasKilled(a.proxy, a.request.At, limit) {
+			c.report(OneAnswer, limit, a.id, a.events, "no final answer by the hard limit, the client gave up")
 		}
 		return
 	case a.answer.Kind == ClientUnanswered:
-		if !t.wasKilled(a.proxy, a.connectedAt, a.answer.At) {
-			t.report(OneAnswer, a.answer.At, a.id, a.events, "the connection was ended with no final answer")
+		if !c.wasKilled(a.proxy, a.connectedAt, a.answer.At) {
+			c.report(OneAnswer, a.answer.At, a.id, a.events, "the connection was ended without a final answer")
 		}
 		return
 	case a.answer.At > limit+tolerance+paused:
-		t.report(LateAnswer, a.answer.At, a.id, a.events, "the final answer came %s after the hard limit", a.answer.At-limit)
+		c.report(LateAnswer, a.answer.At, a.id, a.events, "the final answer came %s after the hard limit", a.answer.At-limit)
 	}
 	if a.extra != nil {
-		t.report(NothingAfterAnswer, a.extra.At, a.id, a.events, "something came after the final answer: %s", a.extra.Note)
+		c.report(NothingAfterAnswer, a.extra.At, a.id, a.events, "something came after the final answer: %s", a.extra.Note)
 	}
 	if a.answer.Kind == ClientReceivedUp && a.answer.Note != a.upLine {
-		t.report(OneAnswer, a.answer.At, a.id, a.events, "the client heard %q, the servers gave %q", a.answer.Note, a.upLine)
+		c.report(OneAnswer, a.answer.At, a.id, a.events, "the client received %q, the servers sent %q", a.answer.Note, a.upLine)
 	}
 	for _, d := range a.dispatches {
 		if d.arrivedAt > a.answer.At+tolerance+paused {
-			t.report(NothingAfterAnswer, d.arrivedAt, a.id, a.events, "sent to server %d after the final answer", d.server)
+			c.report(NothingAfterAnswer, d.arrivedAt, a.id, a.events, "sent to server %d after the final answer", d.server)
 		}
-		if a.answer.Kind != ClientReceivedUp && d.arrivedAt < a.answer.At && (d.endedAt == 0 && a.answer.At+maxOpenAfterAnswer < t.parameters.End ||
+		if a.answer.Kind != ClientReceivedUp && d.arrivedAt < a.answer.At && (d.endedAt == 0 && a.answer.At+maxOpenAfterAnswer < c.parameters.End ||
 			d.endedAt > a.answer.At+maxOpenAfterAnswer+paused) {
-			t.report(NothingAfterAnswer, a.answer.At, a.id, a.events, "the dispatch at server %d stayed out after the final answer", d.server)
+			c.report(NothingAfterAnswer, a.answer.At, a.id, a.events, "the dispatch at server %d stayed open after the final answer", d.server)
 		}
 	}
 	if a.answer.Kind == ClientReceivedUp {
 		return
 	}
-	if a.answer.Kind == ClientReceivedBusy && t.product(a).Idempotency == OneShot {
+	if a.answer.Kind == ClientReceivedBusy && c.product(a).Idempotency == OneShot {
 		for _, d := range a.dispatches {
 			if d.mayHaveRun() && d.arrivedAt < a.answer.At {
-				t.report(RepeatedEffect, a.answer.At, a.id, a.events, "a one-shot was pushed back that may have run at server %d", d.server)
+				c.report(RepeatedEffect, a.answer.At, a.id, a.events, "a one-shot request that may have run at server %d was refused with BUSY", d.server)
 			}
 		}
 	}
-	if since, why := t.dispatchesExhausted(a); why != "" && a.answer.At > since+maxAnswerDelay+t.pausedTime(a.proxy, since, a.answer.At) {
-		t.report(WithheldAnswer, a.answer.At, a.id, a.events, "the final answer came %s after %s", a.answer.At-since, why)
+	if since, why := c.dispatchesExhausted(a); why != "" && a.answer.At > since+maxAnswerDelay+c.pausedTime(a.proxy, since, a.answer.At) {
+		c.report(WithheldAnswer, a.answer.At, a.id, a.events, "the final answer came %s after %s", a.answer.At-since, why)
 	}
 }
 
-// checkAbandoned judges what was sent for a client that had left without an answer.
-func (t *checker) checkAbandoned(a *attachment) {
+// checkAbandoned checks that nothing was sent for a client that had left without an answer.
+func (c *checker) checkAbandoned(a *attachment) {
 	if a.left == nil {
 		return
 	}
 	for _, d := range a.dispatches {
-		if late := d.arrivedAt - a.left.At; late > maxDispatchAfterLeave+tolerance+t.pausedTime(a.proxy, a.left.At, d.arrivedAt) {
-			t.report(NothingAfterLeave, d.arrivedAt, a.id, a.events, "sent to server %d, %s after its client had left", d.server, late)
+		if late := d.arrivedAt - a.left.At; late > maxDispatchAfterLeave+tolerance+c.pausedTime(a.proxy, a.left.At, d.arrivedAt) {
+			c.report(NothingAfterLeave, d.arrivedAt, a.id, a.events, "sent to server %d, %s after its client had left", d.server, late)
 		}
 	}
 }
 
-// dispatchesExhausted tells since when no further dispatch was permitted, where that is certain from outside.
-func (t *checker) dispatchesExhausted(a *attachment) (Micros, string) {
+// dispatchesExhausted returns since when no further dispatch was allowed, and why. The reason is empty where the events do not
+// prove this.
+func (c *checker) dispatchesExhausted(a *attachment) (Micros, string) {
 	for i, d := range a.dispatches {
 		if d.endedAt == 0 || d.endedAt > a.answer.At {
 			continue
 		}
-		if t.product(a).Idempotency == OneShot && d.mayHaveRun() {
-			return d.endedAt, "a one-shot may have run"
+		if c.product(a).Idempotency == OneShot && d.mayHaveRun() {
+			return d.endedAt, "a one-shot request may have run"
 		}
-		if t.parameters.MaxDispatches > 0 && i+1 == t.parameters.MaxDispatches {
-			return d.endedAt, "its last dispatch was over"
+		if c.parameters.MaxDispatches > 0 && i+1 == c.parameters.MaxDispatches {
+			return d.endedAt, "the last allowed dispatch had ended"
 		}
 	}
 	return 0, ""
 }
 
-func (t *checker) product(a *attachment) Product {
-	if a.request == nil || a.request.Product < 0 || a.request.Product >= len(t.parameters.Products) {
+// product returns the product of an attachment's request, or the zero value if it is not known.
+func (c *checker) product(a *attachment) Product {
+	if a.request == nil || a.request.Product < 0 || a.request.Product >= len(c.parameters.Products) {
 		return Product{}
 	}
-	return t.parameters.Products[a.request.Product]
+	return c.parameters.Products[a.request.Product]
 }
 
-// checkDispatches judges what was sent how often.
-func (t *checker) checkDispatches(a *attachment) {
-	p := t.product(a)
-	if t.parameters.MaxDispatches > 0 && len(a.dispatches) > t.parameters.MaxDispatches && !a.carried {
-		t.report(DispatchLimit, a.dispatches[t.parameters.MaxDispatches].arrivedAt, a.id, a.events, "%d dispatches, %d are the most",
-			len(a.dispatches), t.parameters.MaxDispatches)
+// checkDispatches checks how many dispatches there were, whether two were open at a time, and whether a request was sent again
+// that must not be.
+func (c *checker) checkDispatches(a *attachment) {
+	p := c.product(a)
+	if c.parameters.MaxDispatches > 0 && len(a.dispatches) > c.parameters.MaxDispatches && !a.carried {
+		c.report(DispatchLimit, a.dispatches[c.parameters.MaxDispatches].arrivedAt, a.id, a.events, "%d dispatches, at most %d are allowed",
+			len(a.dispatches), c.parameters.MaxDispatches)
 	}
 	runs := 0
 	for i, d := range a.dispatches {
 		if d.ran {
 			runs++
 		}
-		for _, before := range a.dispatches[:i] {
-			if before.endedAt == 0 || before.endedAt > d.arrivedAt+tolerance {
-				t.report(ConcurrentDispatches, d.arrivedAt, a.id, a.events, "out at server %d while another was out at server %d", d.server, before.server)
+		for _, earlier := range a.dispatches[:i] {
+			if earlier.endedAt == 0 || earlier.endedAt > d.arrivedAt+tolerance {
+				c.report(ConcurrentDispatches, d.arrivedAt, a.id, a.events, "open at server %d while another was open at server %d", d.server, earlier.server)
 			}
-			if !before.mayHaveRun() {
+			if !earlier.mayHaveRun() {
 				continue
 			}
 			switch p.Idempotency {
 			case OneShot:
-				t.report(RepeatedEffect, d.arrivedAt, a.id, a.events, "a one-shot that may have run at server %d went to server %d", before.server, d.server)
+				c.report(RepeatedEffect, d.arrivedAt, a.id, a.events, "a one-shot request that may have run at server %d was sent to server %d", earlier.server, d.server)
 			case Stamped:
-				if !t.sameDedupScope(p.DedupScope, before.server, d.server) {
-					t.report(OutsideDedupScope, d.arrivedAt, a.id, a.events, "may have run at server %d, went to server %d of another group", before.server, d.server)
-				} else if p.DedupWindow > 0 && d.arrivedAt-before.arrivedAt > p.DedupWindow+tolerance {
-					t.report(OutsideDedupScope, d.arrivedAt, a.id, a.events, "went to server %d after the stamp's window", d.server)
+				if !c.sameDedupScope(p.DedupScope, earlier.server, d.server) {
+					c.report(OutsideDedupScope, d.arrivedAt, a.id, a.events, "may have run at server %d, was sent to server %d outside the dedup scope", earlier.server, d.server)
+				} else if p.DedupWindow > 0 && d.arrivedAt-earlier.arrivedAt > p.DedupWindow+tolerance {
+					c.report(OutsideDedupScope, d.arrivedAt, a.id, a.events, "was sent to server %d after the dedup window", d.server)
 				}
 			}
 		}
 	}
 	if runs > 1 && p.Idempotency == OneShot {
-		t.report(RepeatedEffect, a.events[len(a.events)-1].At, a.id, a.events, "a one-shot ran %d times", runs)
+		c.report(RepeatedEffect, a.events[len(a.events)-1].At, a.id, a.events, "a one-shot request ran %d times", runs)
 	}
 }
 
-func (t *checker) sameDedupScope(r DedupScope, a, b int) bool {
-	if max(a, b) >= len(t.parameters.Servers) {
+// sameDedupScope reports whether two servers recognize each other's repeats. It is true for servers that are not known.
+func (c *checker) sameDedupScope(scope DedupScope, a, b int) bool {
+	if max(a, b) >= len(c.parameters.Servers) {
 		return true
 	}
-	x, y := t.parameters.Servers[a], t.parameters.Servers[b]
-	switch r {
+	x, y := c.parameters.Servers[a], c.parameters.Servers[b]
+	switch scope {
 	case DedupZone:
 		return x.Zone == y.Zone
 	case DedupCell:
@@ -478,17 +494,18 @@
 	return true
 }
 
-// checkDrains judges what was sent to servers that the proxy knew to drain or to be gone.
-func (t *checker) checkDrains(a *attachment) {
+// checkDrains checks that nothing was sent to a server of which the proxy had been told, longer ago than the grace, that it drains
+// or is gone.
+func (c *checker) checkDrains(a *attachment) {
 	if a.proxy == None || a.carried {
 		return
 	}
 	for _, d := range a.dispatches {
-		var list, order, told *Event
-		for _, e := range t.announcements[[2]int{a.proxy, d.server}] {
-			told = list
+		var byList, byOrder, told *Event
+		for _, e := range c.announcements[[2]int{a.proxy, d.server}] {
+			told = byList
 			if e.Note == ByOrder {
-				told = order
+				told = byOrder
 			}
 			switch {
 			case e.At > d.arrivedAt:
@@ -498,61 +515,61 @@
 				told = &e
 			}
 			if e.Note == ByOrder {
-				order = told
+				byOrder = told
 			} else {
-				list = told
+				byList = told
 			}
 		}
-		if told = list; told == nil || order != nil && order.At < told.At {
-			told = order
+		if told = byList; told == nil || byOrder != nil && byOrder.At < told.At {
+			told = byOrder
 		}
-		if told != nil && d.arrivedAt > told.At+t.parameters.DrainGrace+tolerance+t.pausedTime(a.proxy, told.At, d.arrivedAt) {
-			t.report(DrainRespected, d.arrivedAt, a.id, append([]Event{*told}, a.events...),
-				"sent to server %d, %s after proxy %d was told", d.server, d.arrivedAt-told.At, a.proxy)
+		if told != nil && d.arrivedAt > told.At+c.parameters.DrainGrace+tolerance+c.pausedTime(a.proxy, told.At, d.arrivedAt) {
+			c.report(DrainRespected, d.arrivedAt, a.id, append([]Event{*told}, a.events...),
+				"sent to server %d, %s after proxy %d was told not to", d.server, d.arrivedAt-told.At, a.proxy)
 		}
 	}
 }
 
-// checkEstablished judges how a connection that stood came to its end.
-func (t *checker) checkEstablished(a *attachment) {
+// checkEstablished checks how an established connection ended.
+func (c *checker) checkEstablished(a *attachment) {
 	if a.answer == nil || a.answer.Kind != ClientReceivedUp || a.answer.Note != a.upLine {
 		return
 	}
-	over := t.parameters.End // when the client was free of it
+	clientEnd := c.parameters.End // when the connection ended for the client, or a MOVE ended its use
 	for _, e := range []*Event{a.moved, a.ended, a.left} {
 		if e != nil {
-			over = min(over, e.At)
+			clientEnd = min(clientEnd, e.At)
 		}
 	}
-	end := a.serverEnd
-	way, lasted := t.lastLinkCut(a.proxy, a.upServer, over)
-	if lasted > 0 && way.to > a.answer.At {
-		if lasted > maxSilence+tolerance+t.pausedTime(a.proxy, way.from, over) && way.from > a.answer.At {
-			t.report(SilenceEnds, over, a.id, a.events, "its way was cut for %s", lasted)
+	serverEnd := a.serverEnd
+	linkCut, cutFor := c.lastLinkCut(a.proxy, a.upServer, clientEnd)
+	if cutFor > 0 && linkCut.to > a.answer.At {
+		if cutFor > maxSilence+tolerance+c.pausedTime(a.proxy, linkCut.from, clientEnd) && linkCut.from > a.answer.At {
+			c.report(SilenceEnds, clientEnd, a.id, a.events, "the link to its server was cut for %s", cutFor)
 		}
-		if over < way.to+Second {
-			return // how its server ended it, or it did, was not to be seen at the proxy
+		if clientEnd < linkCut.to+Second {
+			return // during the cut the proxy could not see how the server ended the connection
 		}
 	}
-	if a.ended != nil && a.moved == nil && !a.serverWasSilent && (end == nil || end.At > a.ended.At+tolerance) &&
-		!t.wasKilled(a.proxy, a.ended.At-Second, a.ended.At) {
-		t.report(NoCutWithoutMove, a.ended.At, a.id, a.events, "cut off without MOVE while its server answered")
+	if a.ended != nil && a.moved == nil && !a.serverWasSilent && (serverEnd == nil || serverEnd.At > a.ended.At+tolerance) &&
+		!c.wasKilled(a.proxy, a.ended.At-Second, a.ended.At) {
+		c.report(NoCutWithoutMove, a.ended.At, a.id, a.events, "cut off without MOVE while its server was answering")
 	}
-	if end != nil && end.At > a.answer.At && over > end.At+maxEndDelay+tolerance+t.pausedTime(a.proxy, end.At, over) {
-		t.report(EndPassedOn, over, a.id, a.events, "its server ended it, and the client was not told for %s", over-end.At)
+	if serverEnd != nil && serverEnd.At > a.answer.At && clientEnd > serverEnd.At+maxEndDelay+tolerance+c.pausedTime(a.proxy, serverEnd.At, clientEnd) {
+		c.report(EndPassedOn, clientEnd, a.id, a.events, "its server ended it, and this was not passed on to the client for %s", clientEnd-serverEnd.At)
 	}
-	if a.silent && over > a.silentAt+maxSilence+tolerance+t.pausedTime(a.proxy, a.silentAt, over) {
-		t.report(SilenceEnds, over, a.id, a.events, "its server brought nothing back for %s", over-a.silentAt)
+	if a.silent && clientEnd > a.silentAt+maxSilence+tolerance+c.pausedTime(a.proxy, a.silentAt, clientEnd) {
+		c.report(SilenceEnds, clientEnd, a.id, a.events, "its server sent nothing for %s", clientEnd-a.silentAt)
 	}
 }
 
-// checkColdServer finds who sent a cold server more than it bears.
-func (t *checker) checkColdServer(events []Event, e Event) {
-	sent := []Event{}
-	for _, x := range events {
-		if x.Server == e.Server && x.Kind == DispatchArrived && x.At <= e.At && x.At > e.At-5*Second && len(sent) < 40 {
-			sent = append(sent, x)
+// checkColdServer reports an overloaded cold server. The evidence is the first 40 dispatches of the last 5 s to it.
+func (c *checker) checkColdServer(events []Event, e Event) {
+	dispatches := []Event{}
+	for _, sent := range events {
+		if sent.Server == e.Server && sent.Kind == DispatchArrived && sent.At <= e.At && sent.At > e.At-5*Second && len(dispatches) < 40 {
+			dispatches = append(dispatches, sent)
 		}
 	}
-	t.report(ColdServerNotOverloaded, e.At, 0, append(sent, e), "server %d tipped over: %s", e.Server, e.Note)
+	c.report(ColdServerNotOverloaded, e.At, 0, append(dispatches, e), "server %d was overloaded while cold: %s", e.Server, e.Note)
 }
