--- a/lab/sysfault/sysfault.go
+++ b/lab/sysfault/sysfault.go
@@ -1,7 +1,7 @@
-// Package sysfault makes system calls of a child process fail by chance. Go programs make their system calls without the
-// C library, so a preloaded library does not reach them; a seccomp filter with user notification does, and it needs no
-// rights. The child installs the filter and then executes the program; this process answers each filtered call: with an
-// error, with a short transfer, or by letting it pass.
+// Package sysfault injects faults into the system calls of a child process, at random, for tests. Go programs make system calls
+// without the C library, so a preloaded library can't intercept them. A seccomp filter with user notification can, and needs
+// no privileges. The child installs the filter and then executes the program to be tested; this process answers each filtered
+// call with an error, with a short transfer, or by letting it pass.
 package sysfault
 
 import (
@@ -15,7 +15,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// CallGroup is a group of system calls.
+// CallGroup names a group of system calls.
 type CallGroup string
 
 // The groups of calls that can be made to fail.
@@ -23,16 +23,16 @@
 	Accept    CallGroup = "accept"
 	Socket    CallGroup = "socket"
 	Connect   CallGroup = "connect"
-	Wait      CallGroup = "wait"    // epoll_wait and the sleeps of threads
-	Read      CallGroup = "read"    // of sockets alone
-	Write     CallGroup = "write"   // of sockets alone
+	Wait      CallGroup = "wait"    // epoll_wait, epoll_pwait and nanosleep
+	Read      CallGroup = "read"    // of sockets only
+	Write     CallGroup = "write"   // of sockets only
 	Open      CallGroup = "open"    // of files
 	Sync      CallGroup = "sync"    // fsync, fdatasync
-	Control   CallGroup = "control" // epoll_ctl that adds a descriptor: only that takes memory
-	Duplicate CallGroup = "copy"    // of descriptors
+	Control   CallGroup = "control" // epoll_ctl that adds a descriptor, the only kind that needs memory
+	Duplicate CallGroup = "copy"    // fcntl, which duplicates descriptors
 )
 
-// callNumbers are the system calls of each group, on amd64.
+// callNumbers lists the system calls of each group, on amd64.
 var callNumbers = map[CallGroup][]uint32{
 	Accept:    {unix.SYS_ACCEPT4, unix.SYS_ACCEPT},
 	Socket:    {unix.SYS_SOCKET},
@@ -46,7 +46,7 @@
 	Duplicate: {unix.SYS_FCNTL},
 }
 
-// TransientErrors lists the errors with which a group's calls fail for a moment on a busy machine.
+// TransientErrors lists, for each group, the errors that its calls may return for a short time on a busy machine.
 var TransientErrors = map[CallGroup][]syscall.Errno{
 	Accept:    {unix.ECONNABORTED, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM},
 	Socket:    {unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM},
@@ -58,33 +58,34 @@
 	Duplicate: {unix.EMFILE},
 }
 
-// Fault makes a share of a group's calls fail with one of its errors, or transfer a part only.
+// Fault describes how calls of a group fail: with an error that is drawn from Errors, or by transferring only a part.
 type Fault struct {
 	Group       CallGroup
-	Errors      []syscall.Errno // none: Usual
-	Short       bool            // reads and writes of sockets transfer a part instead of failing
-	Probability float64         // of each call, 0 to 1
-	Skip        int             // how many calls pass first
-	MaxFailures int             // how many calls fail at most; 0 for no bound
+	Errors      []syscall.Errno // if empty, the group's TransientErrors
+	Short       bool            // reads and writes of sockets transfer a part instead of failing; MaxFailures does not count these
+	Probability float64         // that a call fails, 0 to 1
+	Skip        int             // the number of calls that pass first
+	MaxFailures int             // the fault ends after so many failures; 0 for no bound
 }
 
-// Shim answers the filtered calls of one process. Its methods may be called from anywhere.
+// Shim answers the filtered calls of one process. Its methods may be called from several goroutines.
 type Shim struct {
-	listener  int // the kernel's notifications
+	listener  int // the descriptor of the kernel's notifications
 	mu        sync.Mutex
 	rng       *rand.Rand
-	faults    map[int]*Fault
-	lastFault int
+	faults    map[int]*Fault // those in effect, by number
+	lastFault int            // the highest number so far
 	failures  map[CallGroup]map[string]int
 	done      chan struct{}
 }
 
-// Start starts a command under a filter for the given groups. Chance is drawn from the seed. No fault holds until one
-// is begun. The shim ends with the process.
+// Start starts a command with the calls of the given groups filtered. All of them pass until a fault begins. Random decisions are
+// drawn from the seed. The shim ends with the process. If executing the program fails, Start returns no error and the process exits with
+// status 127.
 func Start(command *exec.Cmd, seed uint64, groups ...CallGroup) (*Shim, error) {
 	for _, group := range groups {
 		if _, known := callNumbers[group]; !known {
-			return nil, fmt.Errorf("there is no group of calls %q", group)
+			return nil, fmt.Errorf("unknown call group %q", group)
 		}
 	}
 	listener, err := startFiltered(command, groups)
@@ -97,7 +98,8 @@
 	return s, nil
 }
 
-// Begin lets a fault hold until the returned function is called.
+// Begin puts a fault into effect until the returned function is called. Several faults may be in effect: each call is decided by
+// the first of them, in the order in which they began, that is drawn for it.
 func (s *Shim) Begin(f Fault) (end func()) {
 	if len(f.Errors) == 0 {
 		f.Errors = TransientErrors[f.Group]
@@ -114,7 +116,7 @@
 	}
 }
 
-// Failures counts, by group and error, the calls that failed or were cut short so far.
+// Failures returns how many calls have failed so far, by group and name of the error. Partial transfers are counted as "short".
 func (s *Shim) Failures() map[CallGroup]map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,23 +130,23 @@
 	return counts
 }
 
-// Done is closed once the process is gone and no call is answered any more.
+// Done returns a channel that is closed once the process has exited and no more calls are answered.
 func (s *Shim) Done() <-chan struct{} { return s.done }
 
-// shortTransfer is what Failed counts a partial transfer as.
+// shortTransfer is the key of partial transfers in Failures.
 const shortTransfer = "short"
 
-// decision is what becomes of one call.
+// decision says how one call is answered; the zero value lets it pass.
 type decision struct {
-	errno syscall.Errno // 0: it does not
-	short bool
+	errno syscall.Errno // the error to return; 0 for none
+	short bool          // transfer only a part
 }
 
-// decide decides what becomes of a call.
+// decide decides how a call is answered, and updates the faults.
 func (s *Shim) decide(number uint32) decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for n := 1; n <= s.lastFault; n++ { // in the order in which they began: a map's order is chance that no seed holds
+	for n := 1; n <= s.lastFault; n++ { // in the order in which they began: a map's order is random and does not depend on the seed
 		f := s.faults[n]
 		if f == nil || !f.covers(number) {
 			continue
@@ -169,6 +171,7 @@
 	return decision{}
 }
 
+// covers reports whether the fault applies to a system call.
 func (f *Fault) covers(number uint32) bool {
 	for _, n := range callNumbers[f.Group] {
 		if n == number {
@@ -178,6 +181,7 @@
 	return false
 }
 
+// countFailure counts a failure of a system call in each of its groups.
 func (s *Shim) countFailure(number uint32, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -194,42 +198,42 @@
 	}
 }
 
-// serve answers the process's calls until it has ended.
+// serve answers the process's calls until it has exited.
 func (s *Shim) serve() {
 	defer close(s.done)
 	defer unix.Close(s.listener)
 	for {
-		if over, err := awaitNotification(s.listener); over || err != nil {
+		if exited, err := awaitNotification(s.listener); exited || err != nil {
 			return
 		}
 		n, err := receive(s.listener)
 		switch {
-		case errors.Is(err, unix.EINTR), errors.Is(err, unix.ENOENT): // the call was given up by a signal
+		case errors.Is(err, unix.EINTR), errors.Is(err, unix.ENOENT): // a signal interrupted the call
 			continue
 		case err != nil:
 			return
 		}
-		_ = respond(s.listener, s.answer(n)) // ENOENT where the call was given up meanwhile
+		_ = respond(s.listener, s.answer(n)) // ENOENT if the call was interrupted in the meantime
 	}
 }
 
-// answer decides one call.
+// answer returns the answer to one call, after making a partial transfer if that is decided.
 func (s *Shim) answer(n *notification) response {
 	pass := response{id: n.id, flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
 	number := uint32(n.data.number)
 	if number == unix.SYS_EPOLL_CTL && n.data.arguments[1] != unix.EPOLL_CTL_ADD {
 		return pass
 	}
-	v := s.decide(number)
+	d := s.decide(number)
 	switch {
-	case v.errno != 0 && isSocketTransfer(number) && !isSocket(n):
+	case d.errno != 0 && isSocketTransfer(number) && !isSocket(n):
 		return pass
-	case v.errno != 0:
-		s.countFailure(number, unix.ErrnoName(v.errno))
-		return response{id: n.id, error: -int32(v.errno)}
-	case v.short:
-		moved, did := transferPart(n, s.drawPart)
-		if !did {
+	case d.errno != 0:
+		s.countFailure(number, unix.ErrnoName(d.errno))
+		return response{id: n.id, error: -int32(d.errno)}
+	case d.short:
+		moved, ok := transferPart(n, s.drawPart)
+		if !ok {
 			return pass
 		}
 		s.countFailure(number, shortTransfer)
@@ -238,13 +242,14 @@
 	return pass
 }
 
-// drawPart draws how much of a transfer is made: at least a byte, and less than all.
-func (s *Shim) drawPart(whole int) int {
+// drawPart draws how many bytes of a transfer are made: at least one, and fewer than size, which must be more than one.
+func (s *Shim) drawPart(size int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return 1 + s.rng.IntN(whole-1)
+	return 1 + s.rng.IntN(size-1)
 }
 
+// isSocketTransfer reports whether a system call belongs to the groups that are about sockets only.
 func isSocketTransfer(number uint32) bool {
 	return number == unix.SYS_READ || number == unix.SYS_WRITE || number == unix.SYS_WRITEV
 }
--- a/lab/sysfault/sysfault_test.go
+++ b/lab/sysfault/sysfault_test.go
@@ -16,7 +16,8 @@
 	"hatchproxy/lab/sysfault"
 )
 
-// The child of these tests makes the call that it is told on a line, and says on one how it ended.
+// childEnv is set in the environment of the child process of these tests. The child reads names of call groups, one a line, makes such
+// a call for each, and writes a line with its result.
 const childEnv = "SYSFAULT_TEST_CHILD"
 
 func TestMain(m *testing.M) {
@@ -27,6 +28,7 @@
 	os.Exit(m.Run())
 }
 
+// serveCalls is the child's main function.
 func serveCalls() {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
@@ -39,9 +41,10 @@
 	}
 }
 
-// transferSize is what the child writes and reads in one call.
+// transferSize is the number of bytes that the child writes or reads in one call.
 const transferSize = 100
 
+// makeCall makes a call of a group and returns the name of its error, or "moved" and the number of bytes transferred.
 func makeCall(call string, pair [2]int) string {
 	var err error
 	moved := 0
@@ -87,7 +90,7 @@
 	return fmt.Sprintf("moved %d", moved)
 }
 
-// child is a process under a shim.
+// child is the parent's side of a child process whose calls are filtered.
 type child struct {
 	t    *testing.T
 	shim *sysfault.Shim
@@ -95,6 +98,7 @@
 	out  *bufio.Scanner
 }
 
+// newChild starts a child with the given groups filtered. It ends with the test.
 func newChild(t *testing.T, groups ...sysfault.CallGroup) *child {
 	command := exec.Command(os.Args[0])
 	command.Env = append(os.Environ(), childEnv+"=1")
@@ -113,6 +117,7 @@
 	return &child{t, shim, bufio.NewWriter(in), bufio.NewScanner(out)}
 }
 
+// call has the child make a call of a group and returns the result.
 func (c *child) call(name string) string {
 	_, err := c.in.WriteString(name + "\n")
 	require.NoError(c.t, err)
@@ -121,7 +126,7 @@
 	return c.out.Text()
 }
 
-func TestEachListedErrorArrives(t *testing.T) {
+func TestEachTransientErrorIsInjected(t *testing.T) {
 	for group, errnos := range sysfault.TransientErrors {
 		t.Run(string(group), func(t *testing.T) {
 			t.Parallel()
@@ -131,14 +136,14 @@
 				end := c.shim.Begin(sysfault.Fault{Group: group, Errors: []syscall.Errno{errno}, Probability: 1})
 				require.Equal(t, unix.ErrnoName(errno), c.call(string(group)))
 				end()
-				require.Equal(t, before, c.call(string(group)), "and it is over with the fault")
+				require.Equal(t, before, c.call(string(group)), "the call succeeds or fails as before once the fault has ended")
 				require.Positive(t, c.shim.Failures()[group][unix.ErrnoName(errno)])
 			}
 		})
 	}
 }
 
-func TestTransfersOfSocketsAreCutShortAndNothingIsLost(t *testing.T) {
+func TestPartialTransfersLoseNothing(t *testing.T) {
 	c := newChild(t, sysfault.Read, sysfault.Write)
 	require.Equal(t, fmt.Sprint("moved ", transferSize), c.call("write"))
 	require.Equal(t, fmt.Sprint("moved ", transferSize), c.call("read"))
@@ -149,31 +154,31 @@
 	require.Greater(t, written, 0)
 	require.Less(t, written, transferSize)
 	c.shim.Begin(sysfault.Fault{Group: sysfault.Read, Short: true, Probability: 1})
-	for rest := written; rest > 0; rest -= read {
+	for remaining := written; remaining > 0; remaining -= read {
 		line := c.call("read")
 		_, err := fmt.Sscanf(line, "moved %d", &read)
 		require.NoError(t, err, line)
-		require.LessOrEqual(t, read, rest)
+		require.LessOrEqual(t, read, remaining)
 	}
-	require.Equal(t, "EAGAIN", c.call("read"), "all that was written was read")
+	require.Equal(t, "EAGAIN", c.call("read"), "all bytes that were written have been read")
 }
 
-func TestOneSeedFailsTheSameCalls(t *testing.T) {
+func TestSameSeedFailsTheSameCalls(t *testing.T) {
 	outcomes := func() string {
 		c := newChild(t, sysfault.Socket)
 		c.shim.Begin(sysfault.Fault{Group: sysfault.Socket, Probability: 0.5})
-		var said []string
+		var results []string
 		for range 40 {
-			said = append(said, c.call("socket"))
+			results = append(results, c.call("socket"))
 		}
-		return strings.Join(said, " ")
+		return strings.Join(results, " ")
 	}
 	first := outcomes()
 	require.Contains(t, first, "moved 0")
 	require.Equal(t, first, outcomes())
 }
 
-func TestAFaultEndsAfterSoManyFailures(t *testing.T) {
+func TestFaultEndsAfterMaxFailures(t *testing.T) {
 	c := newChild(t, sysfault.Socket)
 	c.shim.Begin(sysfault.Fault{Group: sysfault.Socket, Errors: []syscall.Errno{unix.ENOBUFS}, Probability: 1, Skip: 1, MaxFailures: 2})
 	require.Equal(t, "moved 0", c.call("socket"))
@@ -182,9 +187,9 @@
 	require.Equal(t, "moved 0", c.call("socket"))
 }
 
-func TestAnUnknownGroupIsRefused(t *testing.T) {
+func TestUnknownCallGroupIsAnError(t *testing.T) {
 	_, err := sysfault.Start(exec.Command("true"), 1, "brew")
 	require.ErrorContains(t, err, `"brew"`)
 	_, err = sysfault.Start(exec.Command("/no/such/program"), 1, sysfault.Socket)
-	require.NoError(t, err, "what cannot be executed ends as a process that could not start, with 127")
+	require.NoError(t, err, "a program that cannot be executed is a process that exits with 127, not an error of Start")
 }
