--- a/lab/ledger/judge.go
+++ b/lab/ledger/judge.go
@@ -247,8 +247,8 @@
 		}
 		return nil
 	}
-	// oldestOpen returns the oldest dispatch at a server that is still open, or the latest one if none is. Where two follow each other at
-	// one server, their connections end in the order in which they began, though the server may see the end of the first just
+	// oldestOpen returns the oldest dispatch at a server that is still open, or the latest one if none is. Where two follow each
+	// other at one server, their connections end in the order in which they began, though the server may see the end of the first just
 	// after the beginning of the second.
 	oldestOpen := func(server int) *dispatch {
 		for i := range a.dispatches {
--- a/lab/ledger/judge_test.go
+++ b/lab/ledger/judge_test.go
@@ -18,17 +18,17 @@
 }
 
 // announced appends that proxy 0 was told a server's state: 0 for ready, 1 for draining, 2 for gone.
-func (s record) announced(ms, server, state int) record {
+func (r record) announced(ms, server, state int) record {
 	e := newEvent(ms, ledger.StateAnnounced, server)
 	e.ID, e.Proxy, e.Value = 0, 0, int64(state)
-	return append(s, e)
+	return append(r, e)
 }
 
 // proxyEvent appends what the test rig did to proxy 0.
-func (s record) proxyEvent(ms int, k ledger.Kind) record {
+func (r record) proxyEvent(ms int, k ledger.Kind) record {
 	e := newEvent(ms, k, ledger.None)
 	e.ID, e.Proxy = 0, 0
-	return append(s, e)
+	return append(r, e)
 }
 
 // requestRecord returns a record that holds a client's request with a hard limit of 1 s.
@@ -39,19 +39,19 @@
 }
 
 // add appends an event of attachment 1.
-func (s record) add(ms int, k ledger.Kind, server int) record {
-	return append(s, newEvent(ms, k, server))
+func (r record) add(ms int, k ledger.Kind, server int) record {
+	return append(r, newEvent(ms, k, server))
 }
 
 // withNote sets the note of the last event.
-func (s record) withNote(note string) record {
-	s[len(s)-1].Note = note
-	return s
+func (r record) withNote(note string) record {
+	r[len(r)-1].Note = note
+	return r
 }
 
 // dispatched appends a dispatch that a server receives whole, and a later event of kind k at that server.
-func (s record) dispatched(ms, server, endedAt int, k ledger.Kind) record {
-	return s.add(ms, ledger.DispatchArrived, server).add(ms, ledger.DispatchComplete, server).add(endedAt, k, server)
+func (r record) dispatched(ms, server, endedAt int, k ledger.Kind) record {
+	return r.add(ms, ledger.DispatchArrived, server).add(ms, ledger.DispatchComplete, server).add(endedAt, k, server)
 }
 
 // establishedRecord returns the record of a connection that is established with server 0 at 20 ms.
@@ -142,7 +142,7 @@
 }
 
 // requestAt appends a client's request with a hard limit of 1 s.
-func (s record) requestAt(ms int) record { return append(s, requestRecord(ms, 0)...) }
+func (r record) requestAt(ms int) record { return append(r, requestRecord(ms, 0)...) }
 
 func TestEvidenceOfAnOverloadedColdServerIsWhatWasSentToIt(t *testing.T) {
 	events := record{}
--- a/lab/load/arrivals.go
+++ b/lab/load/arrivals.go
@@ -32,7 +32,7 @@
 type Product struct {
 	Name              string
 	Share             float64 // of the arrivals, relative to the other products' shares
-	MeanLifetime      Micros  // of a client's wish to be connected
+	MeanLifetime      Micros  // how long clients want to be connected
 	QuotedSetUpTime   Micros  // a connection set up within this time counts as served from the start
 	HardLimit         Micros  // from a request to its final answer
 	QuotedMessageTime Micros  // a message answered within this time counts as served
--- a/lab/load/tally.go
+++ b/lab/load/tally.go
@@ -25,32 +25,32 @@
 }
 
 // Add counts one latency.
-func (s *Histogram) Add(latency Micros) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	_ = s.histogram.RecordValue(min(max(1, int64(latency)), maxLatencyMicros)) // fails only for values out of bounds
+func (h *Histogram) Add(latency Micros) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	_ = h.histogram.RecordValue(min(max(1, int64(latency)), maxLatencyMicros)) // fails only for values out of bounds
 }
 
 // Quantile returns the latency at the quantile q, from 0 to 1, or 0 if nothing was counted.
-func (s *Histogram) Quantile(q float64) Micros {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return Micros(s.histogram.ValueAtQuantile(100 * q))
+func (h *Histogram) Quantile(q float64) Micros {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return Micros(h.histogram.ValueAtQuantile(100 * q))
 }
 
 // Count returns how many latencies were counted.
-func (s *Histogram) Count() int64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.histogram.TotalCount()
+func (h *Histogram) Count() int64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.histogram.TotalCount()
 }
 
 // CountAbove returns how many latencies were longer than a bound, to the histogram's three digits.
-func (s *Histogram) CountAbove(bound Micros) int64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (h *Histogram) CountAbove(bound Micros) int64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	n := int64(0)
-	for _, bar := range s.histogram.Distribution() {
+	for _, bar := range h.histogram.Distribution() {
 		if bar.From > int64(bound) {
 			n += bar.Count
 		}
--- a/lab/sysfault/filter.go
+++ b/lab/sysfault/filter.go
@@ -31,8 +31,8 @@
 	os.Exit(127)
 }
 
-// launch installs the filter for the calling thread, sends its listener over the socket, and executes the program that os.Args names.
-// It returns only if it fails.
+// launch installs the filter for the calling thread, sends its listener over the socket, and executes the program that os.Args
+// names. It returns only if it fails.
 func launch(calls, socketNumber string) error {
 	runtime.LockOSThread() // the filter belongs to the thread; exec keeps the filter of the thread that calls it
 	var numbers []uint32
--- a/lab/sysfault/notify.go
+++ b/lab/sysfault/notify.go
@@ -86,8 +86,8 @@
 // maxPartialTransfer bounds the bytes of a partial transfer.
 const maxPartialTransfer = 64 << 10
 
-// transferPart makes a part of a read or write of a socket on behalf of the process. drawSize chooses how much of a given size. ok is
-// false if the call can't be made in part; the process then makes it itself.
+// transferPart makes a part of a read or write of a socket on behalf of the process. drawSize chooses how much of a given size.
+// ok is false if the call can't be made in part; the process then makes it itself.
 func transferPart(n *notification, drawSize func(size int) int) (moved int64, ok bool) {
 	size := int(min(n.data.arguments[2], maxPartialTransfer))
 	if n.data.number != unix.SYS_READ && n.data.number != unix.SYS_WRITE || size < 2 {
@@ -124,8 +124,8 @@
 	return int64(moved), true
 }
 
-// readPart receives a part of the available bytes into the process's buffer. It peeks first, since a read can be cut short only if more
-// than one byte is available.
+// readPart receives a part of the available bytes into the process's buffer. It peeks first, since a read can be cut short only
+// if more than one byte is available.
 func readPart(n *notification, fd int, remote unix.RemoteIovec, maxSize int, drawSize func(int) int) (int64, bool) {
 	bytes := make([]byte, maxSize)
 	available, _, err := unix.Recvfrom(fd, bytes, unix.MSG_PEEK|unix.MSG_DONTWAIT)
--- a/lab/sysfault/sysfault_test.go
+++ b/lab/sysfault/sysfault_test.go
@@ -16,8 +16,8 @@
 	"hatchproxy/lab/sysfault"
 )
 
-// childEnv is set in the environment of the child process of these tests. The child reads names of call groups, one a line, makes such
-// a call for each, and writes a line with its result.
+// childEnv is set in the environment of the child process of these tests. The child reads names of call groups, one a line, makes
+// such a call for each, and writes a line with its result.
 const childEnv = "SYSFAULT_TEST_CHILD"
 
 func TestMain(m *testing.M) {
