--- a/lab/links/links.go
+++ b/lab/links/links.go
@@ -1,6 +1,7 @@
-// Package links stands between the processes of named machines: all that one machine's processes send to another's
-// passes a relay on loopback that holds it, delays it or breaks it off, each direction on its own. A relay knows who
-// calls by the loopback address that the caller dials from. No rights, kernel settings or name spaces are needed.
+// Package links simulates the network between machines on one host. Connections between the processes of different machines
+// pass through TCP relays on loopback addresses. Each direction between two machines can be cut, delayed, made lossy or limited in
+// rate on its own, and connections can be reset. A relay identifies the calling machine by the loopback address that the caller dials
+// from, so no privileges, kernel settings or network namespaces are needed.
 package links
 
 import (
@@ -14,75 +15,78 @@
 	"time"
 )
 
-// Impairment is what one direction of a link suffers. The zero value is a sound one.
+// Impairment describes how one direction of a link is impaired. The zero value is an unimpaired direction.
 type Impairment struct {
-	Cut             bool          // nothing comes and nothing ends; what was under way comes once the cut is over
-	Delay, Jitter   time.Duration // each piece comes that much later, and up to so much more
-	LossProbability float64       // share of pieces that come only as TCP sends them again: retransmit later, doubling
-	BytesPerSecond  int           // bytes a second; 0 for as many as come
-	IdleTimeout     time.Duration // connections that carry nothing for so long are dead, silently and for good; 0 for never
+	Cut             bool          // nothing is delivered and no connection ends; pending data is delivered when the cut is over
+	Delay, Jitter   time.Duration // each chunk is delivered later by Delay and a random part of Jitter
+	LossProbability float64       // probability that a chunk is lost and has to be retransmitted, at most three times; the delay doubles each time
+	BytesPerSecond  int           // 0 for no limit
+	IdleTimeout     time.Duration // a connection that was idle for longer delivers nothing any more, without an error; 0 for never
 }
 
 const (
-	// minRetransmitDelay is the least wait before TCP sends a piece again (RFC 6298 has 1 s, kernels 200 ms).
+	// minRetransmitDelay is the delay before TCP retransmits for the first time (1 s in RFC 6298, 200 ms in kernels).
 	minRetransmitDelay = 200 * time.Millisecond
-	// maxChunkSize and held bound what the relay keeps of one direction of a connection: beyond it the sender waits.
+	// maxChunkSize (in bytes) and maxQueuedChunks bound the data that a relay buffers per direction of a connection. When the
+	// queue is full, the sender has to wait.
 	maxChunkSize    = 16 << 10
 	maxQueuedChunks = 64
 )
 
-// Network is the links between machines. Its methods may be called from any goroutine.
+// Network is the set of links between machines. Its methods are safe for concurrent use.
 type Network struct {
 	mu           sync.Mutex
 	rng          *rand.Rand
-	machineNames map[netip.Addr]string
-	impairments  map[[2]string]Impairment
-	changed      chan struct{} // closed with the next change
+	machineNames map[netip.Addr]string    // by the address that the machine's processes dial from
+	impairments  map[[2]string]Impairment // by the names of the sending and the receiving machine
+	changed      chan struct{}            // closed and replaced at each change of impairments
 	conns        map[*relayedConn]bool
 	listeners    []net.Listener
 	carriedBytes atomic.Int64
 	running      sync.WaitGroup
-	closed       chan struct{}
+	closed       chan struct{} // closed by Close
 }
 
 // relayedConn is one connection through a relay.
 type relayedConn struct {
-	from, to               string
-	sockets                [2]*net.TCPConn
-	resetIfClosedDuringCut bool // it is lost when a side ends it in a cut
+	from, to               string          // calling and called machine
+	sockets                [2]*net.TCPConn // to the caller and to the service
+	resetIfClosedDuringCut bool            // if a side closes it while the direction from that side is cut, both sides are reset
 	closeOnce              sync.Once
 	closed                 chan struct{}
 	mu                     sync.Mutex
-	lastActivity           time.Time // when something passed
+	lastActivity           time.Time // when data or an end last passed
 }
 
-// New makes sound links; the seed decides about jitter and loss.
+// New returns a network without impairments. The seed determines the random draws for jitter and loss.
 func New(seed int64) *Network {
 	return &Network{rng: rand.New(rand.NewSource(seed)), machineNames: map[netip.Addr]string{}, impairments: map[[2]string]Impairment{},
 		changed: make(chan struct{}), conns: map[*relayedConn]bool{}, closed: make(chan struct{})}
 }
 
-// AddMachine names the one whose processes dial from an address.
+// AddMachine registers a machine whose processes dial from the given address.
 func (n *Network) AddMachine(name string, from netip.Addr) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.machineNames[from] = name
 }
 
-// AddRelay relays what comes to the address that a machine's service advertises to the one where it listens. An address
-// with port 0 gets a free one. It returns what is to be advertised.
-func (n *Network) AddRelay(machine, advertised, listens string) (string, error) {
-	return n.listen("", machine, advertised, listens)
+// AddRelay starts a relay from the address that a machine's service advertises to the target address on which the service listens.
+// Port 0 in the advertised address stands for a free port. AddRelay returns the address to advertise.
+func (n *Network) AddRelay(machine, advertised, target string) (string, error) {
+	return n.listen("", machine, advertised, target)
 }
 
-// AddRelayBetween relays what one machine sends to a service of another: who calls there is known by the address that was called, not by the
-// one that it dials from. A side that ends it while a direction is cut ends it for both, and what was under way is lost, as
-// with a reset: nobody answers for what comes out of a cut after its sender has given it up. It returns where to call.
-func (n *Network) AddRelayBetween(from, to, listens string) (string, error) {
-	return n.listen(from, to, "127.0.0.1:0", listens)
+// AddRelayBetween starts a relay from one machine to a service of another that listens on the target address. Only the calling
+// machine must use it: callers are not identified by the address that they dial from. If a side closes a connection while the
+// direction from it is cut, both sides are reset and pending data is lost, so that nothing is delivered after the cut that its
+// sender has already given up. AddRelayBetween returns the address to call.
+func (n *Network) AddRelayBetween(from, to, target string) (string, error) {
+	return n.listen(from, to, "127.0.0.1:0", target)
 }
 
-func (n *Network) listen(from, machine, advertised, listens string) (string, error) {
+// listen starts a relay on the advertised address; an empty from means that callers are identified by their address.
+func (n *Network) listen(from, machine, advertised, target string) (string, error) {
 	l, err := net.Listen("tcp", advertised)
 	if err != nil {
 		return "", err
@@ -96,46 +100,46 @@
 			if err != nil {
 				return
 			}
-			n.running.Go(func() { n.relay(from, machine, listens, c.(*net.TCPConn)) })
+			n.running.Go(func() { n.relay(from, machine, target, c.(*net.TCPConn)) })
 		}
 	})
 	return l.Addr().String(), nil
 }
 
-// SetImpairment has one direction suffer a trouble from now on.
-func (n *Network) SetImpairment(from, to string, t Impairment) {
+// SetImpairment sets the impairment of the direction between two machines.
+func (n *Network) SetImpairment(from, to string, i Impairment) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.impairments[[2]string{from, to}] = t
+	n.impairments[[2]string{from, to}] = i
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// SetBothDirections sets both directions.
-func (n *Network) SetBothDirections(a, b string, t Impairment) {
-	n.SetImpairment(a, b, t)
-	n.SetImpairment(b, a, t)
+// SetBothDirections sets the impairment of both directions between two machines.
+func (n *Network) SetBothDirections(a, b string, i Impairment) {
+	n.SetImpairment(a, b, i)
+	n.SetImpairment(b, a, i)
 }
 
-// CarriedBytes is how many bytes have been passed on in all.
+// CarriedBytes returns the number of bytes that have been forwarded over all links.
 func (n *Network) CarriedBytes() int64 { return n.carriedBytes.Load() }
 
-// ResetConnections breaks off all connections between two machines.
+// ResetConnections resets all connections between two machines.
 func (n *Network) ResetConnections(a, b string) {
 	n.mu.Lock()
-	var hit []*relayedConn
+	var matching []*relayedConn
 	for c := range n.conns {
 		if c.from == a && c.to == b || c.from == b && c.to == a {
-			hit = append(hit, c)
+			matching = append(matching, c)
 		}
 	}
 	n.mu.Unlock()
-	for _, c := range hit {
+	for _, c := range matching {
 		c.close(true)
 	}
 }
 
-// Close ends all relays and connections.
+// Close closes all relays, resets all connections and waits until their goroutines have returned.
 func (n *Network) Close() {
 	n.mu.Lock()
 	close(n.closed)
@@ -149,33 +153,38 @@
 	n.running.Wait()
 }
 
+// impairment returns the impairment of a direction and a channel that is closed when any impairment changes.
 func (n *Network) impairment(from, to string) (Impairment, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.impairments[[2]string{from, to}], n.changed
 }
 
+// drawFloat returns a random number in [0, 1).
 func (n *Network) drawFloat() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rng.Float64()
 }
 
+// close closes both sockets, with a TCP reset if wanted. Only the first call has an effect.
 func (c *relayedConn) close(reset bool) {
 	c.closeOnce.Do(func() {
 		close(c.closed)
-		for _, e := range c.sockets {
+		for _, socket := range c.sockets {
 			if reset {
-				_ = e.SetLinger(0)
+				_ = socket.SetLinger(0)
 			}
-			_ = e.Close()
+			_ = socket.Close()
 		}
 	})
 }
 
-func (n *Network) relay(from, to, listens string, in *net.TCPConn) {
-	way := from != ""
-	if !way {
+// relay forwards an accepted connection to the target address until it ends. If from is empty, the caller is identified by its
+// address, and an unknown one is reset.
+func (n *Network) relay(from, to, target string, in *net.TCPConn) {
+	isFixedCaller := from != ""
+	if !isFixedCaller {
 		caller := in.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
 		n.mu.Lock()
 		var known bool
@@ -187,49 +196,49 @@
 			return
 		}
 	}
-	// A connection comes up only through two sound directions: the caller waits in silence until then.
-	for _, d := range [][2]string{{from, to}, {to, from}} {
-		t, _ := n.impairment(d[0], d[1])
-		if good := n.waitWhileCut(d[0], d[1], nil); !good || way && t.Cut {
-			_ = in.SetLinger(0) // what its caller has sent meanwhile, and perhaps given up, goes nowhere
+	// The connection to the target is opened only once neither direction is cut. Until then the caller gets no data and no error.
+	for _, direction := range [][2]string{{from, to}, {to, from}} {
+		i, _ := n.impairment(direction[0], direction[1])
+		if ok := n.waitWhileCut(direction[0], direction[1], nil); !ok || isFixedCaller && i.Cut {
+			_ = in.SetLinger(0) // the caller may have given up what it sent during the cut, so that must not be delivered
 			_ = in.Close()
 			return
 		}
 	}
-	out, err := net.DialTimeout("tcp", listens, time.Second)
+	out, err := net.DialTimeout("tcp", target, time.Second)
 	if err != nil {
-		_ = in.SetLinger(0) // nobody listens: refused, as far as a relay can say it
+		_ = in.SetLinger(0) // nobody listens on the target; the connection is already accepted, so a reset stands for a refusal
 		_ = in.Close()
 		return
 	}
-	c := &relayedConn{from: from, to: to, sockets: [2]*net.TCPConn{in, out.(*net.TCPConn)}, resetIfClosedDuringCut: way, closed: make(chan struct{}), lastActivity: time.Now()}
+	c := &relayedConn{from: from, to: to, sockets: [2]*net.TCPConn{in, out.(*net.TCPConn)}, resetIfClosedDuringCut: isFixedCaller, closed: make(chan struct{}), lastActivity: time.Now()}
 	n.mu.Lock()
 	n.conns[c] = true
 	n.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { n.forward(c, from, to, c.sockets[0], c.sockets[1]) })
-	both.Go(func() { n.forward(c, to, from, c.sockets[1], c.sockets[0]) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { n.forward(c, from, to, c.sockets[0], c.sockets[1]) })
+	directions.Go(func() { n.forward(c, to, from, c.sockets[1], c.sockets[0]) })
+	directions.Wait()
 	c.close(false)
 	n.mu.Lock()
 	delete(n.conns, c)
 	n.mu.Unlock()
 }
 
-// waitWhileCut waits until a direction is no longer cut; false if all is over first.
+// waitWhileCut waits until a direction is no longer cut. It returns false if the connection c (if not nil) or the network is closed first.
 func (n *Network) waitWhileCut(from, to string, c *relayedConn) bool {
-	var over chan struct{}
+	var connClosed chan struct{}
 	if c != nil {
-		over = c.closed
+		connClosed = c.closed
 	}
 	for {
-		t, changed := n.impairment(from, to)
-		if !t.Cut {
+		i, changed := n.impairment(from, to)
+		if !i.Cut {
 			return true
 		}
 		select {
 		case <-changed:
-		case <-over:
+		case <-connClosed:
 			return false
 		case <-n.closed:
 			return false
@@ -237,36 +246,37 @@
 	}
 }
 
+// chunk is a piece of data, or the end of the stream, that waits to be forwarded.
 type chunk struct {
 	deliverAt time.Time
 	data      []byte
-	readErr   error // the end, in order or not
+	readErr   error // io.EOF or another error if the stream ended with this chunk
 }
 
-// forward carries one direction. Order is kept, as TCP keeps it: a piece that is late holds up those behind it.
+// forward copies one direction of a connection. The order is kept as in TCP: a late chunk holds up those behind it.
 func (n *Network) forward(c *relayedConn, from, to string, in, out *net.TCPConn) {
-	under := make(chan chunk, maxQueuedChunks)
+	queue := make(chan chunk, maxQueuedChunks)
 	go func() {
-		defer close(under)
-		free := time.Now() // when the link has carried all before
+		defer close(queue)
+		linkFreeAt := time.Now() // when a link of limited rate has carried all earlier chunks
 		for {
-			b := make([]byte, maxChunkSize)
-			k, err := in.Read(b)
-			t, _ := n.impairment(from, to)
-			if err != nil && c.resetIfClosedDuringCut && t.Cut {
+			buffer := make([]byte, maxChunkSize)
+			size, err := in.Read(buffer)
+			i, _ := n.impairment(from, to)
+			if err != nil && c.resetIfClosedDuringCut && i.Cut {
 				c.close(true)
 			}
 			now := time.Now()
-			due := now.Add(t.Delay + time.Duration(n.drawFloat()*float64(t.Jitter)))
-			for wait := minRetransmitDelay; t.LossProbability > 0 && wait < 8*minRetransmitDelay && n.drawFloat() < t.LossProbability; wait *= 2 {
-				due = due.Add(wait)
+			deliverAt := now.Add(i.Delay + time.Duration(n.drawFloat()*float64(i.Jitter)))
+			for wait := minRetransmitDelay; i.LossProbability > 0 && wait < 8*minRetransmitDelay && n.drawFloat() < i.LossProbability; wait *= 2 {
+				deliverAt = deliverAt.Add(wait)
 			}
-			if t.BytesPerSecond > 0 {
-				free = laterOf(free, now).Add(time.Duration(float64(k) / float64(t.BytesPerSecond) * float64(time.Second)))
-				due = laterOf(due, free)
+			if i.BytesPerSecond > 0 {
+				linkFreeAt = laterOf(linkFreeAt, now).Add(time.Duration(float64(size) / float64(i.BytesPerSecond) * float64(time.Second)))
+				deliverAt = laterOf(deliverAt, linkFreeAt)
 			}
 			select {
-			case under <- chunk{due, b[:k], err}:
+			case queue <- chunk{deliverAt, buffer[:size], err}:
 			case <-c.closed:
 				return
 			}
@@ -275,8 +285,8 @@
 			}
 		}
 	}()
-	for p := range under {
-		if wait := time.Until(p.deliverAt); wait > 0 {
+	for next := range queue {
+		if wait := time.Until(next.deliverAt); wait > 0 {
 			select {
 			case <-time.After(wait):
 			case <-c.closed:
@@ -284,31 +294,31 @@
 			}
 		}
 		if !n.waitWhileCut(from, to, c) || n.isIdleTooLong(c, from, to) {
-			<-c.closed // dead for good: it says nothing until a side gives up
+			<-c.closed // a connection that was idle for too long stays silent until it is closed
 			return
 		}
-		if len(p.data) > 0 {
-			n.carriedBytes.Add(int64(len(p.data)))
-			if _, err := out.Write(p.data); err != nil {
+		if len(next.data) > 0 {
+			n.carriedBytes.Add(int64(len(next.data)))
+			if _, err := out.Write(next.data); err != nil {
 				c.close(true)
 				return
 			}
 		}
 		switch {
-		case errors.Is(p.readErr, io.EOF):
+		case errors.Is(next.readErr, io.EOF):
 			_ = out.CloseWrite()
-		case p.readErr != nil:
+		case next.readErr != nil:
 			c.close(true)
 		}
 	}
 }
 
-// isIdleTooLong tells whether the connection has carried nothing for too long, and notes that something passes.
+// isIdleTooLong reports whether the connection was idle for longer than the direction's idle timeout. If not, it records activity.
 func (n *Network) isIdleTooLong(c *relayedConn, from, to string) bool {
-	t, _ := n.impairment(from, to)
+	i, _ := n.impairment(from, to)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t.IdleTimeout > 0 && time.Since(c.lastActivity) > t.IdleTimeout {
+	if i.IdleTimeout > 0 && time.Since(c.lastActivity) > i.IdleTimeout {
 		return true
 	}
 	c.lastActivity = time.Now()
