--- a/lab/chaos/cluster.go
+++ b/lab/chaos/cluster.go
@@ -1,5 +1,7 @@
-// Package chaos starts agents on machines of their own, puts faults between them and into them, and judges by what was
-// recorded whether what was agreed on stayed agreed on.
+// Package chaos tests agents under faults. It starts real agents on simulated machines, each with loopback addresses of its own, whose
+// network connections pass through relays (package links). A schedule of faults cuts and slows links, crashes and pauses machines and
+// damages disks while clients submit commands. What agents and instances report meanwhile is recorded, and FindBreaches checks the
+// record afterwards, for example that no committed command was lost or changed.
 package chaos
 
 import (
@@ -28,25 +30,26 @@
 	"hatchproxy/lab/links"
 )
 
-// ClusterConfig is what stands where. Machine m stands in site m%Sites, and so do the servers of zone z: z is less than Sites.
+// ClusterConfig describes the machines of a cluster. Machine m is in site m modulo SiteCount. Zones are numbered like sites: the
+// servers of zone z are in site z.
 type ClusterConfig struct {
-	AgentCount      int                                // one a machine
-	NonVoterCount   int                                // so many of them, the last ones, have no vote
-	SiteCount       int                                //
-	Seed            int64                              // of what the links draw
-	InstanceConfigs func(a int) []agent.InstanceConfig // those that a machine's agent keeps; nil for none
-	InterSiteDelay  time.Duration                      // a way between two sites
-	ElectionTimeout time.Duration                      // how long a leader may be silent; 0 for the agents' own
-	Duties          []string                           // that all agents stand for
-	HasClockErrors  bool                               // the agents' clocks are wrong, each in its way, by the seed
-	TestClock       func(a int) string                 // what is wrong with each of them instead
-	// OnInstanceEvent hears what is done to the instances of a machine: before they are killed or stopped, and after they went on.
-	OnInstanceEvent func(a int, what InstanceEvent)
-	// OnServerLinkChange hears that a machine's ways to the servers of a zone are cut, and that they are back.
-	OnServerLinkChange func(a, zone int, cut bool)
-}
-
-// InstanceEvent is what is done to the instances of a machine.
+	AgentCount      int                                      // one on each machine
+	NonVoterCount   int                                      // the last agents, as many as this, have no vote
+	SiteCount       int                                      // at least 1
+	Seed            int64                                    // seed of the links' jitter and loss, and of clock errors
+	InstanceConfigs func(machine int) []agent.InstanceConfig // the instances that a machine's agent runs; nil for no instances at all
+	InterSiteDelay  time.Duration                            // one-way delay between two sites
+	ElectionTimeout time.Duration                            // how long a leader may be silent before an election; 0 for the agents' default
+	Duties          []string                                 // duties that all agents are candidates for
+	HasClockErrors  bool                                     // each agent's clock is inaccurate in its own way, as the seed determines
+	TestClock       func(machine int) string                 // if not nil, returns each agent's --test-clock in place of HasClockErrors; "" for an accurate clock
+	// OnInstanceEvent, if not nil, is called before a machine's instances are killed or paused, and after they were resumed.
+	OnInstanceEvent func(machine int, event InstanceEvent)
+	// OnServerLinkChange, if not nil, is called when a machine's link to the servers of a zone is cut (cut is true) or restored.
+	OnServerLinkChange func(machine, zone int, cut bool)
+}
+
+// InstanceEvent is what happened to all instances of a machine.
 type InstanceEvent int
 
 const (
@@ -55,280 +58,290 @@
 	InstancesResumed
 )
 
-// Cluster are some, each with an agent that reaches the others only through links.
+// Cluster is a set of simulated machines, each with an agent that reaches the others only through the links of Network. Machines and
+// agents have the same numbers, from 0. Its methods are safe for concurrent use.
 type Cluster struct {
 	ClusterConfig
 	Network        *links.Network
-	agentCommand   []string // what starts an agent; its file is added
+	agentCommand   []string // command line of an agent, without the path of its configuration file
 	folder         string
-	names          []string
-	agentAddresses []string // where each agent listens: the judge asks there, past the links
+	names          []string // of machines and agents
+	agentAddresses []string // on which the agents' HTTP APIs listen; calls to them bypass the links
 
 	linkFaults *linkFaults
 
 	mu              sync.Mutex
-	agentProcesses  []*agentProcess // nil for one that does not run
-	instancesPaused []bool          // its instances
+	agentProcesses  []*agentProcess // by machine; nil if not started or killed
+	instancesPaused []bool          // by machine
 	unexpectedExits []AgentExit
 }
 
-// agentProcess is an agent's.
+// agentProcess is the process of an agent.
 type agentProcess struct {
 	*exec.Cmd
-	exited         chan struct{} // closed when it has
-	isExitExpected bool          // it is to end, or may
+	exited         chan struct{} // closed when the process has exited
+	isExitExpected bool          // it was killed, or its disk was full at some time
 }
 
-// AgentExit is an agent that ended by itself.
+// AgentExit is an unexpected exit of an agent.
 type AgentExit struct {
 	Agent int
 	At    time.Time
 }
 
-// clusterCount counts the sets of machines in this process: each has a part of loopback of its own, so that several may run
-// side by side.
+// clusterCount is the number of clusters started by this process. It gives each a loopback address range of its own, so that several
+// can run in parallel.
 var clusterCount atomic.Uint32
 
 const (
-	maxMachines = 250  // addresses in one block of loopback
-	basePort    = 7400 // below those that the kernel draws for calls
+	maxMachines = 250  // number of host addresses in a range
+	basePort    = 7400 // below the ephemeral port range of the kernel
 )
 
-// NewCluster writes the agents' files into a folder and makes the links; nothing runs yet.
-func NewCluster(command []string, folder string, l ClusterConfig) (m *Cluster, err error) {
-	for range 5 { // another program may have drawn the same part of loopback
-		if m, err = newCluster(command, folder, l); !errors.Is(err, syscall.EADDRINUSE) {
-			return m, err
+// NewCluster writes the agents' configuration files into a folder and starts the relays; no agent runs yet. The command is the
+// command line of an agent; the path of the agent's configuration file is appended to it.
+func NewCluster(command []string, folder string, config ClusterConfig) (c *Cluster, err error) {
+	for range 5 { // another process may use the same address range
+		if c, err = newCluster(command, folder, config); !errors.Is(err, syscall.EADDRINUSE) {
+			return c, err
 		}
 	}
 	return nil, err
 }
 
-func newCluster(command []string, folder string, l ClusterConfig) (*Cluster, error) {
-	agents, hear := l.AgentCount, l.NonVoterCount
+// newCluster is one attempt of NewCluster. It returns EADDRINUSE if the address range is in use.
+func newCluster(command []string, folder string, config ClusterConfig) (*Cluster, error) {
+	agents, nonVoters := config.AgentCount, config.NonVoterCount
 	if agents > maxMachines {
-		return nil, fmt.Errorf("%d machines: %d are the most", agents, maxMachines)
+		return nil, fmt.Errorf("%d machines: at most %d are supported", agents, maxMachines)
 	}
-	m := &Cluster{ClusterConfig: l, Network: links.New(l.Seed), agentCommand: command, folder: folder, agentProcesses: make([]*agentProcess, agents), instancesPaused: make([]bool, agents)}
-	part := byte(20 + (uint32(os.Getpid())*7+clusterCount.Add(1))%200)
-	address := func(kind, a int) netip.Addr {
-		return netip.AddrFrom4([4]byte{127, part, byte(kind*60 + os.Getpid()%60), byte(a + 1)})
+	c := &Cluster{ClusterConfig: config, Network: links.New(config.Seed), agentCommand: command, folder: folder, agentProcesses: make([]*agentProcess, agents), instancesPaused: make([]bool, agents)}
+	addressRange := byte(20 + (uint32(os.Getpid())*7+clusterCount.Add(1))%200)
+	address := func(use, machine int) netip.Addr {
+		return netip.AddrFrom4([4]byte{127, addressRange, byte(use*60 + os.Getpid()%60), byte(machine + 1)})
 	}
-	const calls, listens, itsLog, advertised = 0, 1, 2, 3
-	var logs, listenAt, logsAt []string
+	const source, api, raftLog, advertised = 0, 1, 2, 3
+	var logAddresses, advertisedAPIs, advertisedLogs []string
 	for a := range agents {
-		m.names = append(m.names, fmt.Sprintf("a%d", a))
-		m.Network.AddMachine(m.names[a], address(calls, a))
-		for n, kind := range []int{listens, itsLog} {
-			// No port is drawn: one that is free when it is drawn may be another's when it is used.
-			at := netip.AddrPortFrom(address(kind, a), basePort).String()
-			reached, err := m.Network.AddRelay(m.names[a], netip.AddrPortFrom(address(advertised, a), basePort+uint16(n)).String(), at)
+		c.names = append(c.names, fmt.Sprintf("a%d", a))
+		c.Network.AddMachine(c.names[a], address(source, a))
+		for n, use := range []int{api, raftLog} {
+			// Ports are fixed: a port that was found free could be taken by another process before the agent listens on it.
+			target := netip.AddrPortFrom(address(use, a), basePort).String()
+			relay, err := c.Network.AddRelay(c.names[a], netip.AddrPortFrom(address(advertised, a), basePort+uint16(n)).String(), target)
 			if err != nil {
-				m.Network.Close()
+				c.Network.Close()
 				return nil, err
 			}
-			if kind == listens {
-				m.agentAddresses, listenAt = append(m.agentAddresses, at), append(listenAt, reached)
+			if use == api {
+				c.agentAddresses, advertisedAPIs = append(c.agentAddresses, target), append(advertisedAPIs, relay)
 			} else {
-				logs, logsAt = append(logs, at), append(logsAt, reached)
+				logAddresses, advertisedLogs = append(logAddresses, target), append(advertisedLogs, relay)
 			}
 		}
 	}
-	m.linkFaults = &linkFaults{cluster: m, network: m.Network, cutCounts: map[[2]string]int{}, machineNames: m.names, onServerLinkChange: l.OnServerLinkChange}
-	if l.InstanceConfigs != nil {
-		for z := range l.SiteCount {
-			m.linkFaults.zoneNames = append(m.linkFaults.zoneNames, zoneName(z))
+	c.linkFaults = &linkFaults{cluster: c, network: c.Network, cutCounts: map[[2]string]int{}, machineNames: c.names, onServerLinkChange: config.OnServerLinkChange}
+	if config.InstanceConfigs != nil {
+		for zone := range config.SiteCount {
+			c.linkFaults.zoneNames = append(c.linkFaults.zoneNames, zoneName(zone))
 		}
 	}
 	for a := range agents {
 		var text strings.Builder
-		fmt.Fprintf(&text, "name = %q\nlisten = %q\nlog = %q\nreached = %q\nfrom = %q\ndata = %q\nhears = %t\n", m.names[a], m.agentAddresses[a], logs[a], logsAt[a], address(calls, a), m.dataDir(a), a >= agents-hear)
-		if len(l.Duties) > 0 {
-			fmt.Fprintf(&text, "duties = [\"%s\"]\n", strings.Join(l.Duties, `", "`))
+		fmt.Fprintf(&text, "name = %q\nlisten = %q\nlog = %q\nreached = %q\nfrom = %q\ndata = %q\nhears = %t\n", c.names[a], c.agentAddresses[a], logAddresses[a], advertisedLogs[a], address(source, a), c.dataDir(a), a >= agents-nonVoters)
+		if len(config.Duties) > 0 {
+			fmt.Fprintf(&text, "duties = [\"%s\"]\n", strings.Join(config.Duties, `", "`))
 		}
-		if l.ElectionTimeout > 0 {
-			fmt.Fprintf(&text, "beat = %q\n", l.ElectionTimeout)
+		if config.ElectionTimeout > 0 {
+			fmt.Fprintf(&text, "beat = %q\n", config.ElectionTimeout)
 		}
-		for b := range agents {
-			if b != a {
-				fmt.Fprintf(&text, "[[peer]]\nname = %q\nlisten = %q\nlog = %q\nhears = %t\n", m.names[b], listenAt[b], logsAt[b], b >= agents-hear)
+		for peer := range agents {
+			if peer != a {
+				fmt.Fprintf(&text, "[[peer]]\nname = %q\nlisten = %q\nlog = %q\nhears = %t\n", c.names[peer], advertisedAPIs[peer], advertisedLogs[peer], peer >= agents-nonVoters)
 			}
 		}
-		for _, i := range m.instanceConfigs(a) {
+		for _, i := range c.instanceConfigs(a) {
 			quoted, err := json.Marshal(i.Command)
 			if err != nil {
 				return nil, err
 			}
 			fmt.Fprintf(&text, "[[instance]]\nname = %q\ncommand = %s\ncontrol = %q\n", i.Name, quoted, i.ControlAddress)
 		}
-		if err := os.WriteFile(m.configPath(a), []byte(text.String()), 0o600); err != nil {
+		if err := os.WriteFile(c.configPath(a), []byte(text.String()), 0o600); err != nil {
 			return nil, err
 		}
 	}
-	m.linkFaults.update(nil, 0, 0)
-	return m, nil
+	c.linkFaults.update(nil, 0, 0)
+	return c, nil
 }
 
-func (m *Cluster) dataDir(a int) string { return filepath.Join(m.folder, fmt.Sprintf("d%d", a)) }
-func (m *Cluster) configPath(a int) string {
-	return filepath.Join(m.folder, fmt.Sprintf("a%d.toml", a))
+func (c *Cluster) dataDir(machine int) string {
+	return filepath.Join(c.folder, fmt.Sprintf("d%d", machine))
+}
+func (c *Cluster) configPath(machine int) string {
+	return filepath.Join(c.folder, fmt.Sprintf("a%d.toml", machine))
 }
 
-// StartAgent starts a machine's agent, if it does not run.
-func (m *Cluster) StartAgent(a int) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if p := m.agentProcesses[a]; p != nil {
+// StartAgent starts a machine's agent if it does not run.
+func (c *Cluster) StartAgent(machine int) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if p := c.agentProcesses[machine]; p != nil {
 		select {
 		case <-p.exited:
 		default:
 			return nil
 		}
 	}
-	log, err := os.OpenFile(m.LogPath(a), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(c.LogPath(machine), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	args := slices.Clone(m.agentCommand[1:])
-	if clock := m.testClock(a); clock != "" {
+	args := slices.Clone(c.agentCommand[1:])
+	if clock := c.testClock(machine); clock != "" {
 		args = append(args, "--test-clock", clock)
 	}
-	cmd := exec.Command(m.agentCommand[0], append(args, m.configPath(a))...)
+	cmd := exec.Command(c.agentCommand[0], append(args, c.configPath(machine))...)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	p := &agentProcess{Cmd: cmd, exited: make(chan struct{})}
-	m.agentProcesses[a] = p
+	c.agentProcesses[machine] = p
 	go func() {
 		_ = cmd.Wait()
 		close(p.exited)
-		m.mu.Lock()
-		defer m.mu.Unlock()
+		c.mu.Lock()
+		defer c.mu.Unlock()
 		if !p.isExitExpected {
-			m.unexpectedExits = append(m.unexpectedExits, AgentExit{a, time.Now()})
+			c.unexpectedExits = append(c.unexpectedExits, AgentExit{machine, time.Now()})
 		}
 	}()
 	return nil
 }
 
-// testClock is what is wrong with a machine's: it is up to an hour off, runs up to 5% fast or slow, and jumps by up to an hour either way
-// within some seconds of each start.
-func (m *Cluster) testClock(a int) string {
-	if m.TestClock != nil {
-		return m.TestClock(a)
-	} else if !m.HasClockErrors {
+// testClock returns the --test-clock of an agent; "" for an accurate clock. With HasClockErrors it is up to an hour off, up to 5% fast
+// or slow, and jumps by up to an hour, forward or back, 0.5 to 5.5 s after each start of the agent.
+func (c *Cluster) testClock(machine int) string {
+	if c.TestClock != nil {
+		return c.TestClock(machine)
+	} else if !c.HasClockErrors {
 		return ""
 	}
-	rng := rand.New(rand.NewSource(m.Seed*1_000_003 + int64(a)))
+	rng := rand.New(rand.NewSource(c.Seed*1_000_003 + int64(machine)))
 	return fmt.Sprintf("rate=%.4f,off=%ds,jump=%ds@%dms", 0.95+0.1*rng.Float64(), rng.Intn(7200)-3600, rng.Intn(7200)-3600, 500+rng.Intn(5000))
 }
 
-// UnexpectedExitCount is how many times an agent has ended by itself.
-func (m *Cluster) UnexpectedExitCount() int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return len(m.unexpectedExits)
+// UnexpectedExitCount returns how many times an agent has exited unexpectedly, over all agents.
+func (c *Cluster) UnexpectedExitCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.unexpectedExits)
 }
 
-// LogPath is the file with what a machine's agent says.
-func (m *Cluster) LogPath(a int) string { return filepath.Join(m.folder, fmt.Sprintf("a%d.log", a)) }
+// LogPath returns the path of the file with the output of a machine's agent.
+func (c *Cluster) LogPath(machine int) string {
+	return filepath.Join(c.folder, fmt.Sprintf("a%d.log", machine))
+}
 
-// KillAgent ends a machine's agent alone; its instances go on.
-func (m *Cluster) KillAgent(a int) {
-	m.mu.Lock()
-	p := m.agentProcesses[a]
-	m.agentProcesses[a] = nil
+// KillAgent kills a machine's agent and waits until it has exited; its instances keep running.
+func (c *Cluster) KillAgent(machine int) {
+	c.mu.Lock()
+	p := c.agentProcesses[machine]
+	c.agentProcesses[machine] = nil
 	if p != nil {
 		p.isExitExpected = true
 	}
-	m.mu.Unlock()
+	c.mu.Unlock()
 	if p != nil {
 		_ = p.Process.Kill()
 		<-p.exited
 	}
 }
 
-// PauseAgent stops a machine's agent alone; Wake has it go on.
-func (m *Cluster) PauseAgent(a int) { m.signalAgent(a, syscall.SIGSTOP) }
+// PauseAgent suspends a machine's agent but not its instances, until ResumeMachine.
+func (c *Cluster) PauseAgent(machine int) { c.signalAgent(machine, syscall.SIGSTOP) }
 
-// CrashMachine ends all that runs on a machine in one instant.
-func (m *Cluster) CrashMachine(a int) {
-	instances := m.pauseAgentAndFindInstances(a)
-	m.reportInstanceEvent(a, InstancesKilled)
+// CrashMachine kills all processes of a machine at once.
+func (c *Cluster) CrashMachine(machine int) {
+	instances := c.pauseAgentAndFindInstances(machine)
+	c.reportInstanceEvent(machine, InstancesKilled)
 	for _, pid := range instances {
 		_ = syscall.Kill(pid, syscall.SIGKILL)
 	}
-	m.KillAgent(a)
+	c.KillAgent(machine)
 }
 
-// PauseMachine stops all that runs on a machine; Wake has it go on.
-func (m *Cluster) PauseMachine(a int) {
-	m.reportInstanceEvent(a, InstancesPaused)
-	for _, pid := range m.pauseAgentAndFindInstances(a) {
+// PauseMachine suspends all processes of a machine until ResumeMachine.
+func (c *Cluster) PauseMachine(machine int) {
+	c.reportInstanceEvent(machine, InstancesPaused)
+	for _, pid := range c.pauseAgentAndFindInstances(machine) {
 		_ = syscall.Kill(pid, syscall.SIGSTOP)
 	}
 }
 
-func (m *Cluster) ResumeMachine(a int) {
-	for _, pid := range m.instancePIDs(a) {
+// ResumeMachine resumes all suspended processes of a machine.
+func (c *Cluster) ResumeMachine(machine int) {
+	for _, pid := range c.instancePIDs(machine) {
 		_ = syscall.Kill(pid, syscall.SIGCONT)
 	}
-	m.signalAgent(a, syscall.SIGCONT)
-	m.reportInstanceEvent(a, InstancesResumed)
+	c.signalAgent(machine, syscall.SIGCONT)
+	c.reportInstanceEvent(machine, InstancesResumed)
 }
 
-// PauseInstances stops a machine's instances and not its agent; Wake has them go on.
-func (m *Cluster) PauseInstances(a int) {
-	m.reportInstanceEvent(a, InstancesPaused)
-	for _, pid := range m.instancePIDs(a) {
+// PauseInstances suspends a machine's instances but not its agent, until ResumeMachine.
+func (c *Cluster) PauseInstances(machine int) {
+	c.reportInstanceEvent(machine, InstancesPaused)
+	for _, pid := range c.instancePIDs(machine) {
 		_ = syscall.Kill(pid, syscall.SIGSTOP)
 	}
 }
 
-// reportInstanceEvent tells of it; of a machine that was not stopped nothing is told when it is woken.
-func (m *Cluster) reportInstanceEvent(a int, what InstanceEvent) {
-	m.mu.Lock()
-	was := m.instancesPaused[a]
-	m.instancesPaused[a] = what == InstancesPaused
-	m.mu.Unlock()
-	if m.OnInstanceEvent != nil && (was || what != InstancesResumed) {
-		m.OnInstanceEvent(a, what)
+// reportInstanceEvent calls OnInstanceEvent. If the instances were not paused, a resumption is not reported.
+func (c *Cluster) reportInstanceEvent(machine int, event InstanceEvent) {
+	c.mu.Lock()
+	wasPaused := c.instancesPaused[machine]
+	c.instancesPaused[machine] = event == InstancesPaused
+	c.mu.Unlock()
+	if c.OnInstanceEvent != nil && (wasPaused || event != InstancesResumed) {
+		c.OnInstanceEvent(machine, event)
 	}
 }
 
-// pauseAgentAndFindInstances stops the agent first, so that it starts nothing while its instances are looked for, and tells their processes.
-func (m *Cluster) pauseAgentAndFindInstances(a int) []int {
-	m.signalAgent(a, syscall.SIGSTOP)
-	return m.instancePIDs(a)
+// pauseAgentAndFindInstances returns the process IDs of a machine's instances. It suspends the agent before, so that the agent starts
+// no instance meanwhile.
+func (c *Cluster) pauseAgentAndFindInstances(machine int) []int {
+	c.signalAgent(machine, syscall.SIGSTOP)
+	return c.instancePIDs(machine)
 }
 
-// instancePIDs are the processes of a machine's instances: what its agent has started, or has written down.
-func (m *Cluster) instancePIDs(a int) (pids []int) {
-	if m.InstanceConfigs == nil {
+// instancePIDs returns the process IDs of a machine's instances: those that its agent has recorded in its process files and that still
+// run, and the child processes of the agent.
+func (c *Cluster) instancePIDs(machine int) (pids []int) {
+	if c.InstanceConfigs == nil {
 		return nil
 	}
-	for _, i := range m.instanceConfigs(a) {
-		var p struct {
+	for _, i := range c.instanceConfigs(machine) {
+		var process struct {
 			PID   int
 			Start string
 		}
-		text, err := os.ReadFile(filepath.Join(m.dataDir(a), i.Name+".process"))
-		if err == nil && json.Unmarshal(text, &p) == nil && p.PID > 1 && procStatField(p.PID, 19) == p.Start {
-			pids = append(pids, p.PID)
+		text, err := os.ReadFile(filepath.Join(c.dataDir(machine), i.Name+".process"))
+		if err == nil && json.Unmarshal(text, &process) == nil && process.PID > 1 && procStatField(process.PID, 19) == process.Start {
+			pids = append(pids, process.PID)
 		}
 	}
-	m.mu.Lock()
-	agent := m.agentProcesses[a]
-	m.mu.Unlock()
+	c.mu.Lock()
+	agent := c.agentProcesses[machine]
+	c.mu.Unlock()
 	if agent == nil {
 		return pids
 	}
-	all, _ := filepath.Glob("/proc/[0-9]*") // the one fault is a bad pattern
-	for _, path := range all {
-		// Guards against one that was started and not written down yet.
+	processes, _ := filepath.Glob("/proc/[0-9]*") // Glob fails only on a malformed pattern
+	for _, path := range processes {
+		// An instance that was just started is not in a process file yet, but its parent is the agent.
 		if pid, err := strconv.Atoi(filepath.Base(path)); err == nil && procStatField(pid, 1) == strconv.Itoa(agent.Process.Pid) && !slices.Contains(pids, pid) {
 			pids = append(pids, pid)
 		}
@@ -336,133 +349,140 @@
 	return pids
 }
 
-// procStatField is a field of what the kernel tells of a process, counted from its state; "" if there is none.
+// procStatField returns a field of /proc/PID/stat, counted from 0 at the process state; "" if there is no such process or field.
 func procStatField(pid, field int) string {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return ""
 	}
-	words := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
-	if len(words) <= field {
+	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
+	if len(fields) <= field {
 		return ""
 	}
-	return words[field]
+	return fields[field]
 }
 
-// signalAgent is for a machine's agent.
-func (m *Cluster) signalAgent(a int, s syscall.Signal) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if p := m.agentProcesses[a]; p != nil {
+// signalAgent sends a signal to a machine's agent, if it was started.
+func (c *Cluster) signalAgent(machine int, s syscall.Signal) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if p := c.agentProcesses[machine]; p != nil {
 		_ = p.Process.Signal(s)
 	}
 }
 
-// FillDisk has every file of a machine's agent at its largest: nothing on its disk grows any more. That is a limit on the process
-// (setrlimit's RLIMIT_FSIZE), and fails writes as a full disk does. Room ends it.
-func (m *Cluster) FillDisk(a int) error {
-	largest := uint64(0)
-	if info, err := os.Stat(filepath.Join(m.dataDir(a), "log.db")); err == nil {
-		largest = uint64(info.Size())
+// FillDisk simulates a full disk for a machine's agent until FreeDisk: it limits the size of the agent's files (RLIMIT_FSIZE) to the
+// present size of its Raft log, so that writes beyond it fail as they do on a full disk. From then on the agent may exit by itself.
+func (c *Cluster) FillDisk(machine int) error {
+	logSize := uint64(0)
+	if info, err := os.Stat(filepath.Join(c.dataDir(machine), "log.db")); err == nil {
+		logSize = uint64(info.Size())
 	}
-	return m.limitFileSize(a, largest)
+	return c.limitFileSize(machine, logSize)
 }
 
-func (m *Cluster) FreeDisk(a int) error { return m.limitFileSize(a, math.MaxUint64) }
+// FreeDisk ends FillDisk.
+func (c *Cluster) FreeDisk(machine int) error { return c.limitFileSize(machine, math.MaxUint64) }
 
-func (m *Cluster) limitFileSize(a int, largest uint64) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	p := m.agentProcesses[a]
+// limitFileSize sets the largest file size, in bytes, of a machine's agent. It has no effect if the agent does not run.
+func (c *Cluster) limitFileSize(machine int, maxBytes uint64) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := c.agentProcesses[machine]
 	if p == nil {
 		return nil
 	}
-	p.isExitExpected = true // one that can write down nothing may end
-	err := unix.Prlimit(p.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: largest, Max: math.MaxUint64}, nil)
+	p.isExitExpected = true // an agent that cannot write its log may exit
+	err := unix.Prlimit(p.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: maxBytes, Max: math.MaxUint64}, nil)
 	if errors.Is(err, unix.ESRCH) {
 		return nil
 	}
 	return err
 }
 
-// EraseDisk takes what a crashed machine had on its disk.
-func (m *Cluster) EraseDisk(a int) error { return os.RemoveAll(m.dataDir(a)) }
+// EraseDisk deletes the data of a crashed machine's agent.
+func (c *Cluster) EraseDisk(machine int) error { return os.RemoveAll(c.dataDir(machine)) }
 
-// BackUpDisk copies a machine's disk in one instant, as a backup does; SetBackDisk lays the copy in the place of what a
-// crashed machine has.
-func (m *Cluster) BackUpDisk(a int) error {
-	m.signalAgent(a, syscall.SIGSTOP)
-	defer m.signalAgent(a, syscall.SIGCONT)
-	if err := os.RemoveAll(m.dataDir(a) + ".kept"); err != nil {
+// BackUpDisk copies the data of a machine's agent, which is suspended meanwhile, so that the copy is consistent. It replaces an earlier
+// copy.
+func (c *Cluster) BackUpDisk(machine int) error {
+	c.signalAgent(machine, syscall.SIGSTOP)
+	defer c.signalAgent(machine, syscall.SIGCONT)
+	if err := os.RemoveAll(c.dataDir(machine) + ".kept"); err != nil {
 		return err
 	}
-	err := os.CopyFS(m.dataDir(a)+".kept", os.DirFS(m.dataDir(a)))
-	if errors.Is(err, fs.ErrNotExist) { // it has none just now
+	err := os.CopyFS(c.dataDir(machine)+".kept", os.DirFS(c.dataDir(machine)))
+	if errors.Is(err, fs.ErrNotExist) { // it has no data at present
 		return nil
 	}
 	return err
 }
 
-func (m *Cluster) RestoreDisk(a int) error {
-	if err := m.EraseDisk(a); err != nil {
+// RestoreDisk replaces the data of a crashed machine's agent with the copy of BackUpDisk, or deletes it if there is no copy.
+func (c *Cluster) RestoreDisk(machine int) error {
+	if err := c.EraseDisk(machine); err != nil {
 		return err
 	}
-	if err := os.Rename(m.dataDir(a)+".kept", m.dataDir(a)); !os.IsNotExist(err) {
+	if err := os.Rename(c.dataDir(machine)+".kept", c.dataDir(machine)); !os.IsNotExist(err) {
 		return err
 	}
 	return nil
 }
 
-// MachineCount is how many machines there are.
-func (m *Cluster) MachineCount() int { return len(m.names) }
+// MachineCount returns the number of machines.
+func (c *Cluster) MachineCount() int { return len(c.names) }
 
-// Close ends all.
-func (m *Cluster) Close() {
-	for a := range m.names {
-		m.CrashMachine(a)
+// Close kills all processes and closes all relays.
+func (c *Cluster) Close() {
+	for machine := range c.names {
+		c.CrashMachine(machine)
 	}
-	m.Network.Close()
+	c.Network.Close()
 }
 
-// callTimeout bounds a question to one agent: one that cannot have a command agreed on says so after 5 s.
+// callTimeout bounds a call to an agent. It is longer than the 5 s after which an agent reports that a command was not committed.
 const callTimeout = 6 * time.Second
 
-// CallAgent asks a machine's agent, past the links.
-func (m *Cluster) CallAgent(ctx context.Context, a int, how func(context.Context, *agent.Client) error) error {
-	return m.callAgent(ctx, a, callTimeout, how)
+// CallAgent calls do with a client of a machine's agent, which bypasses the links, and a context that ends after callTimeout.
+func (c *Cluster) CallAgent(ctx context.Context, machine int, do func(context.Context, *agent.Client) error) error {
+	return c.callAgent(ctx, machine, callTimeout, do)
 }
 
-func (m *Cluster) callAgent(ctx context.Context, a int, within time.Duration, how func(context.Context, *agent.Client) error) error {
-	c := agent.NewClient(m.agentAddresses[a])
-	defer c.Close()
-	ctx, cancel := context.WithTimeout(ctx, within)
+// callAgent is CallAgent with another timeout.
+func (c *Cluster) callAgent(ctx context.Context, machine int, timeout time.Duration, do func(context.Context, *agent.Client) error) error {
+	client := agent.NewClient(c.agentAddresses[machine])
+	defer client.Close()
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return how(ctx, c)
+	return do(ctx, client)
 }
 
-// siteOf is a machine's; zone names the servers that stand in one.
-func (m *Cluster) siteOf(a int) int { return a % m.SiteCount }
-func zoneName(site int) string      { return fmt.Sprint("zone", site) }
+// siteOf returns the site of a machine.
+func (c *Cluster) siteOf(machine int) int { return machine % c.SiteCount }
+
+// zoneName returns the name that stands for the servers of a zone in Network.
+func zoneName(zone int) string { return fmt.Sprint("zone", zone) }
 
-// instanceConfigs are the instances that a machine's agent keeps.
-func (m *Cluster) instanceConfigs(a int) []agent.InstanceConfig {
-	if m.InstanceConfigs == nil {
+// instanceConfigs returns the instances that a machine's agent runs.
+func (c *Cluster) instanceConfigs(machine int) []agent.InstanceConfig {
+	if c.InstanceConfigs == nil {
 		return nil
 	}
-	return m.InstanceConfigs(a)
+	return c.InstanceConfigs(machine)
 }
 
-// AddServerRelay is where a machine's instances reach a server of a zone that listens at an address.
-func (m *Cluster) AddServerRelay(a, z int, listens string) (string, error) {
-	return m.Network.AddRelayBetween(m.names[a], zoneName(z), listens)
+// AddServerRelay starts a relay from a machine to a server of a zone that listens on the target address, and returns the address that
+// the machine's instances have to use.
+func (c *Cluster) AddServerRelay(machine, zone int, target string) (string, error) {
+	return c.Network.AddRelayBetween(c.names[machine], zoneName(zone), target)
 }
 
-// errTimeout is the end of a wait that has come to nothing.
-var errTimeout = errors.New("not in time")
+// errTimeout is returned by waitUntil.
+var errTimeout = errors.New("timed out")
 
-// waitUntil waits for something, and asks again each 20 ms.
-func waitUntil(ctx context.Context, within time.Duration, good func() bool) error {
-	for end := time.Now().Add(within); !good(); {
+// waitUntil checks a condition every 20 ms. It returns errTimeout if the condition is not met within the timeout or ctx ends.
+func waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) error {
+	for end := time.Now().Add(timeout); !condition(); {
 		if time.Now().After(end) || ctx.Err() != nil {
 			return errTimeout
 		}
--- a/lab/chaos/schedule.go
+++ b/lab/chaos/schedule.go
@@ -16,162 +16,169 @@
 type Kind string
 
 const (
-	Cut            Kind = "cut"       // a machine from all others, silently
-	OutboundCut    Kind = "one-way"   // a machine hears the others, and none hears it
-	InboundCut     Kind = "deaf"      // the others hear it, and it hears none
-	Reset          Kind = "reset"     // as cut, and all its connections are broken off
-	SlowLinks      Kind = "slow"      // all links: 500 ms and 20% of the pieces sent again
-	Flap           Kind = "flap"      // a machine is cut off and back each 300 ms
-	NeighborsOnly  Kind = "ring"      // each sees its two neighbours alone
-	SiteCut        Kind = "site-cut"  // a site from the others
-	Crash          Kind = "crash"     // a machine, and back with its disk
-	CrashAll       Kind = "crash-all" // all within 50 ms, and back one by one
-	MachinePause   Kind = "stall"     // a machine stops and goes on
-	DiskLost       Kind = "disk-lost" // a machine, and back with its disk empty
-	DiskRolledBack Kind = "disk-old"  // a machine, and back with its disk as it was at the fault's begin
-	DiskFull       Kind = "disk-full" // nothing grows any more on the disk of a machine's agent; one that ends by that is started again after
-	AgentPause     Kind = "doze"      // a machine's agent stops and goes on, and not its instances
-	SiteCrash      Kind = "site-dark" // all machines of a site crash in one instant, and are back with their disks
+	Cut            Kind = "cut"       // all links of a machine to other machines are cut
+	OutboundCut    Kind = "one-way"   // a machine receives from the others, but nothing that it sends arrives
+	InboundCut     Kind = "deaf"      // what a machine sends arrives, but it receives nothing
+	Reset          Kind = "reset"     // Cut, and all connections of the machine are reset
+	SlowLinks      Kind = "slow"      // all links between machines: 500 ms delay and 20% loss
+	Flap           Kind = "flap"      // a machine is cut and reconnected in turn, every 300 ms
+	NeighborsOnly  Kind = "ring"      // each machine reaches only its two neighbors in a ring; no effect on three machines or fewer
+	SiteCut        Kind = "site-cut"  // a site is cut from the others
+	Crash          Kind = "crash"     // a machine crashes and restarts with its disk
+	CrashAll       Kind = "crash-all" // all machines crash within 50 ms and restart one by one
+	MachinePause   Kind = "stall"     // all processes of a machine are suspended and resumed
+	DiskLost       Kind = "disk-lost" // a machine crashes and restarts with an empty disk
+	DiskRolledBack Kind = "disk-old"  // a machine crashes and restarts with its disk as it was when the fault began
+	DiskFull       Kind = "disk-full" // no file of a machine's agent can grow; an agent that exits because of it is restarted at the end
+	AgentPause     Kind = "doze"      // a machine's agent is suspended and resumed, its instances keep running
+	SiteCrash      Kind = "site-dark" // all machines of a site crash at once and restart with their disks
 
-	// These need instances.
-	AgentKill     Kind = "agent-dead" // a machine's agent, and not its instances
-	InstancePause Kind = "sleep"      // a machine's instances stop and go on, and not its agent
-	NoServers     Kind = "no-servers" // a machine from all servers; its agent sees the others
+	// The following kinds need instances.
+	AgentKill     Kind = "agent-dead" // a machine's agent is killed and restarted, its instances keep running
+	InstancePause Kind = "sleep"      // a machine's instances are suspended and resumed, its agent keeps running
+	NoServers     Kind = "no-servers" // a machine is cut from all servers, but not from other machines
 )
 
-// Kinds are those that agents without instances can suffer, in the order of their drawing; WithInstances are the others.
+// AgentKinds are the kinds that need no instances; DrawSchedule's result depends on their order. InstanceKinds are the others.
 var (
 	AgentKinds    = []Kind{Cut, OutboundCut, InboundCut, Reset, SlowLinks, Flap, NeighborsOnly, SiteCut, Crash, CrashAll, MachinePause, DiskLost, DiskRolledBack, DiskFull, SiteCrash, AgentPause}
 	InstanceKinds = []Kind{AgentKill, InstancePause, NoServers}
 )
 
-// TargetsSite tells whether a kind's number is a site's.
+// TargetsSite reports whether the target of this kind is a site, not a machine.
 func (k Kind) TargetsSite() bool { return k == SiteCut || k == SiteCrash }
 
-// Fault is one with its time.
+// Fault is a fault with its start and duration.
 type Fault struct {
 	Kind         Kind
-	At, Duration time.Duration
-	Target       int // machine, or site; or one of the numbers below
+	At, Duration time.Duration // At is relative to the start of the run
+	Target       int           // number of a machine or site, or TargetLeader or TargetHolder
 }
 
-// OfLeader and OfHolder stand for the machine whose agent leads, or holds a duty, when the fault begins.
+// TargetLeader and TargetHolder stand for the machine whose agent is the leader, or holds a duty, when the fault begins.
 const (
 	TargetLeader = -1
 	TargetHolder = -2
 )
 
+// String formats a fault as records show it.
 func (f Fault) String() string {
 	return fmt.Sprintf("%-9s on %d from %v for %v", f.Kind, f.Target, f.At.Round(time.Millisecond), f.Duration.Round(time.Millisecond))
 }
 
 const (
-	// minFaultDuration and longest are how long a fault lasts: from under the log's election time, 0.3 s, to several of them.
+	// minFaultDuration and maxFaultDuration bound the duration of drawn faults: from less than Raft's election timeout of 0.3 s
+	// to several times that.
 	minFaultDuration, maxFaultDuration = 100 * time.Millisecond, 2500 * time.Millisecond
-	// maxFaultInterval is how far apart two begin at most; they overlap.
+	// maxFaultInterval is the longest time between the starts of two successive faults. It is shorter than maxFaultDuration, so
+	// that faults can overlap.
 	maxFaultInterval = 1200 * time.Millisecond
 )
 
-// DrawSchedule draws faults by a seed. A disk is lost once at most: two of three lost need an operator, and that is no breach.
-func DrawSchedule(seed int64, faults, agents, sites int, kinds []Kind) []Fault {
+// DrawSchedule returns random faults in the order of their start; the same arguments give the same faults. At most one of them loses
+// a disk or rolls one back: if two of three voters lose their disks, an operator has to step in, which would not be a breach.
+func DrawSchedule(seed int64, count, agents, sites int, kinds []Kind) []Fault {
 	rng := rand.New(rand.NewSource(seed))
-	var drawn []Fault
-	at, lost := 200*time.Millisecond, false
-	for range faults {
-		k := kinds[rng.Intn(len(kinds))]
-		if (k == DiskLost || k == DiskRolledBack) && lost {
-			k = Crash
+	var faults []Fault
+	at, hasDiskFault := 200*time.Millisecond, false
+	for range count {
+		kind := kinds[rng.Intn(len(kinds))]
+		if (kind == DiskLost || kind == DiskRolledBack) && hasDiskFault {
+			kind = Crash
 		}
-		lost = lost || k == DiskLost || k == DiskRolledBack
-		on := rng.Intn(agents)
-		if k.TargetsSite() {
-			on = rng.Intn(sites)
+		hasDiskFault = hasDiskFault || kind == DiskLost || kind == DiskRolledBack
+		target := rng.Intn(agents)
+		if kind.TargetsSite() {
+			target = rng.Intn(sites)
 		}
 		at += time.Duration(rng.Int63n(int64(maxFaultInterval)))
-		drawn = append(drawn, Fault{k, at, minFaultDuration + time.Duration(rng.Int63n(int64(maxFaultDuration-minFaultDuration))), on})
+		faults = append(faults, Fault{kind, at, minFaultDuration + time.Duration(rng.Int63n(int64(maxFaultDuration-minFaultDuration))), target})
 	}
-	return drawn
+	return faults
 }
 
-// linkFaults is how faults add up: a direction is cut while any fault cuts it.
+// linkFaults combines overlapping faults: a direction is cut as long as at least one fault cuts it.
 type linkFaults struct {
 	cluster            *Cluster
 	mu                 sync.Mutex
 	network            *links.Network
-	cutCounts          map[[2]string]int
-	slowCount          int
-	machineNames       []string // machines
-	zoneNames          []string // the servers of the zones
-	onServerLinkChange func(a, zone int, cut bool)
+	cutCounts          map[[2]string]int // number of faults that cut a direction, by sender and receiver
+	slowCount          int               // number of SlowLinks faults
+	machineNames       []string
+	zoneNames          []string                          // each zone's servers are one end of a link; empty without instances
+	onServerLinkChange func(machine, zone int, cut bool) // may be nil
 }
 
-func (w *linkFaults) update(cut [][2]string, by, slow int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.slowCount += slow
-	for _, way := range cut {
-		was := w.cutCounts[way] > 0
-		w.cutCounts[way] += by
-		if z := slices.Index(w.zoneNames, way[1]); z >= 0 && w.onServerLinkChange != nil && was != (w.cutCounts[way] > 0) {
-			w.onServerLinkChange(slices.Index(w.machineNames, way[0]), z, !was)
+// update adds cutDelta to the number of cuts of each given direction and slowDelta to the number of slow faults, and applies the
+// result to all links.
+func (l *linkFaults) update(directions [][2]string, cutDelta, slowDelta int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.slowCount += slowDelta
+	for _, direction := range directions {
+		wasCut := l.cutCounts[direction] > 0
+		l.cutCounts[direction] += cutDelta
+		if zone := slices.Index(l.zoneNames, direction[1]); zone >= 0 && l.onServerLinkChange != nil && wasCut != (l.cutCounts[direction] > 0) {
+			l.onServerLinkChange(slices.Index(l.machineNames, direction[0]), zone, !wasCut)
 		}
 	}
-	for i, a := range w.machineNames {
-		for k, b := range w.machineNames {
-			if a == b {
+	for i, from := range l.machineNames {
+		for k, to := range l.machineNames {
+			if from == to {
 				continue
 			}
-			t := links.Impairment{Cut: w.cutCounts[[2]string{a, b}] > 0}
-			if w.cluster.siteOf(i) != w.cluster.siteOf(k) {
-				t.Delay, t.Jitter = w.cluster.InterSiteDelay, w.cluster.InterSiteDelay/10
+			impairment := links.Impairment{Cut: l.cutCounts[[2]string{from, to}] > 0}
+			if l.cluster.siteOf(i) != l.cluster.siteOf(k) {
+				impairment.Delay, impairment.Jitter = l.cluster.InterSiteDelay, l.cluster.InterSiteDelay/10
 			}
-			if w.slowCount > 0 {
-				t.Delay, t.LossProbability = 500*time.Millisecond, 0.2
+			if l.slowCount > 0 {
+				impairment.Delay, impairment.LossProbability = 500*time.Millisecond, 0.2
 			}
-			w.network.SetImpairment(a, b, t)
+			l.network.SetImpairment(from, to, impairment)
 		}
-		for _, z := range w.zoneNames {
-			w.network.SetImpairment(a, z, links.Impairment{Cut: w.cutCounts[[2]string{a, z}] > 0})
-			w.network.SetImpairment(z, a, links.Impairment{Cut: w.cutCounts[[2]string{z, a}] > 0})
+		for _, zone := range l.zoneNames {
+			l.network.SetImpairment(from, zone, links.Impairment{Cut: l.cutCounts[[2]string{from, zone}] > 0})
+			l.network.SetImpairment(zone, from, links.Impairment{Cut: l.cutCounts[[2]string{zone, from}] > 0})
 		}
 	}
 }
 
-// cutDirections lists the directions that a fault cuts.
-func (m *Cluster) cutDirections(f Fault) (cut [][2]string) {
-	n := len(m.names)
-	for a := range n {
-		for b := range n {
-			hit := false
+// cutDirections returns the directions that a fault cuts, each as sender and receiver.
+func (c *Cluster) cutDirections(f Fault) (directions [][2]string) {
+	count := len(c.names)
+	for from := range count {
+		for to := range count {
+			isCut := false
 			switch f.Kind {
 			case Cut, Reset, Flap:
-				hit = a == f.Target || b == f.Target
+				isCut = from == f.Target || to == f.Target
 			case OutboundCut:
-				hit = a == f.Target
+				isCut = from == f.Target
 			case InboundCut:
-				hit = b == f.Target
+				isCut = to == f.Target
 			case SiteCut:
-				hit = m.siteOf(a) == f.Target != (m.siteOf(b) == f.Target)
+				isCut = c.siteOf(from) == f.Target != (c.siteOf(to) == f.Target)
 			case NeighborsOnly:
-				hit = n > 3 && (a-b+n)%n != 1 && (b-a+n)%n != 1
+				isCut = count > 3 && (from-to+count)%count != 1 && (to-from+count)%count != 1
 			}
-			if hit && a != b {
-				cut = append(cut, [2]string{m.names[a], m.names[b]})
+			if isCut && from != to {
+				directions = append(directions, [2]string{c.names[from], c.names[to]})
 			}
 		}
-		for z := range m.SiteCount {
-			if f.Kind == SiteCut && m.siteOf(a) == f.Target != (z == f.Target) || f.Kind == NoServers && a == f.Target {
-				cut = append(cut, [2]string{m.names[a], zoneName(z)}, [2]string{zoneName(z), m.names[a]})
+		for zone := range c.SiteCount {
+			if f.Kind == SiteCut && c.siteOf(from) == f.Target != (zone == f.Target) || f.Kind == NoServers && from == f.Target {
+				directions = append(directions, [2]string{c.names[from], zoneName(zone)}, [2]string{zoneName(zone), c.names[from]})
 			}
 		}
 	}
-	return cut
+	return directions
 }
 
-// injectFault plays one fault from its begin to its end.
-func (m *Cluster) injectFault(ctx context.Context, f Fault) error {
-	w := m.linkFaults
-	rest := func(d time.Duration) {
+// injectFault causes a fault, waits for its duration and ends it. It ends earlier if ctx is canceled. Errors are those of starting an
+// agent or changing its disk.
+func (c *Cluster) injectFault(ctx context.Context, f Fault) error {
+	l := c.linkFaults
+	wait := func(d time.Duration) {
 		select {
 		case <-time.After(d):
 		case <-ctx.Done():
@@ -179,83 +186,83 @@
 	}
 	switch f.Kind {
 	case SlowLinks:
-		w.update(nil, 0, 1)
-		rest(f.Duration)
-		w.update(nil, 0, -1)
+		l.update(nil, 0, 1)
+		wait(f.Duration)
+		l.update(nil, 0, -1)
 	case Flap:
-		for end := time.Now().Add(f.Duration); time.Now().Before(end) && ctx.Err() == nil; rest(300 * time.Millisecond) {
-			w.update(m.cutDirections(f), 1, 0)
-			rest(300 * time.Millisecond)
-			w.update(m.cutDirections(f), -1, 0)
+		for end := time.Now().Add(f.Duration); time.Now().Before(end) && ctx.Err() == nil; wait(300 * time.Millisecond) {
+			l.update(c.cutDirections(f), 1, 0)
+			wait(300 * time.Millisecond)
+			l.update(c.cutDirections(f), -1, 0)
 		}
 	case Crash, DiskLost:
-		m.CrashMachine(f.Target)
+		c.CrashMachine(f.Target)
 		if f.Kind == DiskLost {
-			if err := m.EraseDisk(f.Target); err != nil {
+			if err := c.EraseDisk(f.Target); err != nil {
 				return err
 			}
 		}
-		rest(f.Duration)
-		return m.StartAgent(f.Target)
+		wait(f.Duration)
+		return c.StartAgent(f.Target)
 	case DiskRolledBack:
-		if err := m.BackUpDisk(f.Target); err != nil {
+		if err := c.BackUpDisk(f.Target); err != nil {
 			return err
 		}
-		rest(f.Duration)
-		m.CrashMachine(f.Target)
-		if err := m.RestoreDisk(f.Target); err != nil {
+		wait(f.Duration)
+		c.CrashMachine(f.Target)
+		if err := c.RestoreDisk(f.Target); err != nil {
 			return err
 		}
-		return m.StartAgent(f.Target)
+		return c.StartAgent(f.Target)
 	case CrashAll, SiteCrash:
-		var all []int
-		for a := range m.names {
-			if f.Kind == CrashAll || m.siteOf(a) == f.Target {
-				all = append(all, a)
-				m.CrashMachine(a)
+		var machines []int
+		for machine := range c.names {
+			if f.Kind == CrashAll || c.siteOf(machine) == f.Target {
+				machines = append(machines, machine)
+				c.CrashMachine(machine)
 			}
 		}
-		for _, a := range all {
+		for _, machine := range machines {
 			if f.Kind == CrashAll {
-				rest(f.Duration / time.Duration(len(all)))
-			} else if a == all[0] {
-				rest(f.Duration)
+				wait(f.Duration / time.Duration(len(machines)))
+			} else if machine == machines[0] {
+				wait(f.Duration)
 			}
-			if err := m.StartAgent(a); err != nil {
+			if err := c.StartAgent(machine); err != nil {
 				return err
 			}
 		}
 	case MachinePause:
-		m.PauseMachine(f.Target)
-		rest(f.Duration)
-		m.ResumeMachine(f.Target)
+		c.PauseMachine(f.Target)
+		wait(f.Duration)
+		c.ResumeMachine(f.Target)
 	case AgentPause:
-		m.PauseAgent(f.Target)
-		rest(f.Duration)
-		m.ResumeMachine(f.Target)
+		c.PauseAgent(f.Target)
+		wait(f.Duration)
+		c.ResumeMachine(f.Target)
 	case InstancePause:
-		m.PauseInstances(f.Target)
-		rest(f.Duration)
-		m.ResumeMachine(f.Target)
+		c.PauseInstances(f.Target)
+		wait(f.Duration)
+		c.ResumeMachine(f.Target)
 	case AgentKill:
-		m.KillAgent(f.Target)
-		rest(f.Duration)
-		return m.StartAgent(f.Target)
+		c.KillAgent(f.Target)
+		wait(f.Duration)
+		return c.StartAgent(f.Target)
 	case DiskFull:
-		if err := m.FillDisk(f.Target); err != nil {
+		if err := c.FillDisk(f.Target); err != nil {
 			return err
 		}
-		rest(f.Duration)
-		return errors.Join(m.FreeDisk(f.Target), m.StartAgent(f.Target))
+		wait(f.Duration)
+		return errors.Join(c.FreeDisk(f.Target), c.StartAgent(f.Target))
 	default:
-		w.update(m.cutDirections(f), 1, 0)
+		l.update(c.cutDirections(f), 1, 0)
 		if f.Kind == Reset {
-			for _, other := range m.names {
-				m.Network.ResetConnections(m.names[f.Target], other)
+			for _, other := range c.names {
+				c.Network.ResetConnections(c.names[f.Target], other)
 			}
 		}
-		rest(f.Duration)
-		w.update(m.cutDirections(f), -1, 0)
+		wait(f.Duration)
+		l.update(c.cutDirections(f), -1, 0)
 	}
 	return nil
 }
