--- a/lab/chaos/judge.go
+++ b/lab/chaos/judge.go
@@ -9,52 +9,53 @@
 	"time"
 )
 
-// Submission is a command that somebody had an agent say.
+// Submission is a command that a client submitted to an agent, with its outcome. All times of a record are since the start of the
+// recording, by one clock.
 type Submission struct {
 	ID          string
 	Agent       int
-	SubmittedAt time.Duration // since the begin of the run, on the clock that all processes share
-	EndedAt     time.Duration // when an answer came, or was waited for no longer
-	Number      uint64        // 0: the outcome is not known
+	SubmittedAt time.Duration
+	EndedAt     time.Duration // when the answer came or the client gave up
+	Number      uint64        // the command's number in the log; 0 if the outcome is unknown
 }
 
-// AppliedOrder is an order as an instance goes by it.
+// AppliedOrder is the latest order on a server that an instance has applied.
 type AppliedOrder struct {
-	Number uint64
-	ID     string
+	Number uint64 // of the command in the log
+	ID     string // of the command
 }
 
-// InstanceReport is what an instance told of itself.
+// InstanceReport is what an instance reported about itself.
 type InstanceReport struct {
 	Instance           string
 	Machine            int
 	AskedAt            time.Duration
-	ProcessStartMicros int64 // when its process started
-	Term               uint64
+	ProcessStartMicros int64                   // Unix time at which its process started, in microseconds
+	Term               uint64                  // highest term of an author of the orders that it received
 	Orders             map[string]AppliedOrder // by server
 }
 
-// RecordedExit is an agent that ended by itself.
+// RecordedExit is an unexpected exit of an agent.
 type RecordedExit struct {
 	Agent int
 	At    time.Duration
 }
 
-// AgentReport is what an agent told of itself.
+// AgentReport is what an agent reported about itself.
 type AgentReport struct {
 	Agent          int
-	AskedAt        time.Duration // when it was asked
-	AnsweredAt     time.Duration // when its answer came
+	AskedAt        time.Duration
+	AnsweredAt     time.Duration
 	IsLeader       bool
 	Term           uint64
-	AppliedIndex   uint64
-	HeldDuties     map[string]uint64 // the duties that it may act on, with the tokens
-	RecentCommands map[uint64]string // the commands that it knows, by number: the last few hundred
+	AppliedIndex   uint64            // number of the last command that it has applied
+	HeldDuties     map[string]uint64 // the tokens of the duties that it may act on
+	RecentCommands map[uint64]string // the IDs of the last few hundred commands, by number
 
-	oldestNumber uint64 // the least of these numbers
+	oldestNumber uint64 // the lowest number in RecentCommands; set by FindBreaches
 }
 
-// Record is what was seen in a run. It is judged only once the run is over.
+// Record is what was recorded in a run. It is checked after the run.
 type Record struct {
 	AgentCount         int
 	Submissions        []Submission
@@ -62,229 +63,236 @@
 	InstanceReports    []InstanceReport
 	UnexpectedExits    []RecordedExit
 	Faults             []Fault
-	LastFaultEnd       time.Duration // when the last fault ended
-	AgentSettleTime    time.Duration // how long after that all agents had agreed on a new command; 0 if they did not
-	InstanceSettleTime time.Duration // how long after that all instances went by it; 0 if they did not
+	LastFaultEnd       time.Duration
+	AgentSettleTime    time.Duration // from LastFaultEnd until all agents had applied a new command; 0 if they did not
+	InstanceSettleTime time.Duration // from LastFaultEnd until all instances had applied it; 0 if they did not
 
-	HasInstances bool // there were some
+	HasInstances bool // whether the cluster has instances
 }
 
-// Breach is what must not be.
+// Breach is a violation of what the agents and instances guarantee.
 type Breach struct {
-	Kind        string // lost, changed, two leaders, not settled, out of order, stale, forgot, fell
+	Kind        string // lost, changed, two leaders, two holders, not settled, out of order, stale, forgot, fell
 	At          time.Duration
 	Description string
 }
 
-// FindBreaches tells what was broken:
-//   - changed: two agents, or one at two times, know two commands under one number, or one command under two;
-//   - lost: a command was answered with a number, and an agent that has applied that far does not know it there, or none
-//     knows it at the end;
-//   - two leaders: two agents led in one term;
-//   - not settled: after the last fault ended they did not agree on a new command within the bound, or instances did not go by it
-//     within telling more;
-//   - out of order: the answers fit no order of the commands that keeps to when each was said and answered;
-//   - stale: an instance went back to an older order, or an older author, or goes by an order that was never agreed on;
-//   - forgot: an instance that was started anew on a machine that kept its disk went back to an older order;
-//   - two holders: an agent could act on a duty after another could by a higher token;
-//   - fell: an agent ended by itself while its disk had room.
+// FindBreaches checks a record and returns all breaches found in it, of these kinds:
+//   - changed: agents, or one agent at two times, report two commands under one number, or one command under two numbers;
+//   - lost: a command was answered with a number, but an agent that has applied commands up to it has another one there, or no agent
+//     ever reported the command under that number;
+//   - two leaders: two agents led in the same term;
+//   - not settled: the agents did not all apply a new command within the bound after the last fault, or the instances within
+//     InstanceSettleBound more;
+//   - out of order: the answers are not linearizable: no order of the commands is consistent with their numbers and with the times at
+//     which they were submitted and answered;
+//   - stale: an instance went back to an older order or to the orders of an author of a lower term, or has applied an order that is not
+//     the committed command of that number;
+//   - forgot: an instance went back to an older order at a restart although its machine kept its disk;
+//   - two holders: an agent could act on a duty after another could with a higher token, or two could with the same token;
+//   - fell: an agent exited by itself, other than after its disk was full.
 func FindBreaches(r Record, bound time.Duration) []Breach {
-	var found []Breach
-	add := func(kind string, at time.Duration, what string, about ...any) {
-		found = append(found, Breach{kind, at, fmt.Sprintf(what, about...)})
+	var breaches []Breach
+	add := func(kind string, at time.Duration, format string, args ...any) {
+		breaches = append(breaches, Breach{kind, at, fmt.Sprintf(format, args...)})
 	}
-	seen := slices.Clone(r.AgentReports)
-	slices.SortStableFunc(seen, func(a, b AgentReport) int { return cmp.Compare(a.AskedAt, b.AskedAt) })
-	leaders, ids, numbers := map[uint64]int{}, map[uint64]string{}, map[string]uint64{}
-	told := map[string]bool{} // each breach once
-	once := func(key string) bool { was := told[key]; told[key] = true; return !was }
-	for i, s := range seen {
-		if seen[i].oldestNumber = math.MaxUint64; len(s.RecentCommands) > 0 {
-			seen[i].oldestNumber = slices.Min(slices.Collect(maps.Keys(s.RecentCommands)))
+	reports := slices.Clone(r.AgentReports)
+	slices.SortStableFunc(reports, func(a, b AgentReport) int { return cmp.Compare(a.AskedAt, b.AskedAt) })
+	leaderByTerm, idByNumber, numberByID := map[uint64]int{}, map[uint64]string{}, map[string]uint64{}
+	isReported := map[string]bool{} // by breach; each is reported once
+	isFirst := func(key string) bool { wasReported := isReported[key]; isReported[key] = true; return !wasReported }
+	for i, s := range reports {
+		if reports[i].oldestNumber = math.MaxUint64; len(s.RecentCommands) > 0 {
+			reports[i].oldestNumber = slices.Min(slices.Collect(maps.Keys(s.RecentCommands)))
 		}
 		if s.IsLeader {
-			if other, known := leaders[s.Term]; known && other != s.Agent && once(fmt.Sprint("term", s.Term)) {
-				add("two leaders", s.AskedAt, "a%d and a%d in term %d", other, s.Agent, s.Term)
+			if other, known := leaderByTerm[s.Term]; known && other != s.Agent && isFirst(fmt.Sprint("term", s.Term)) {
+				add("two leaders", s.AskedAt, "a%d and a%d both led in term %d", other, s.Agent, s.Term)
 			}
-			leaders[s.Term] = s.Agent
+			leaderByTerm[s.Term] = s.Agent
 		}
 		for _, n := range sortedNumbers(s.RecentCommands) {
 			id := s.RecentCommands[n]
-			if other, known := ids[n]; known && other != id && once(fmt.Sprint("number", n)) {
-				add("changed", s.AskedAt, "number %d is %s, and %s at a%d", n, other, id, s.Agent)
+			if other, known := idByNumber[n]; known && other != id && isFirst(fmt.Sprint("number", n)) {
+				add("changed", s.AskedAt, "number %d is %s, but %s according to a%d", n, other, id, s.Agent)
 			}
-			if other, known := numbers[id]; known && other != n && once("id"+id) {
-				add("changed", s.AskedAt, "%s is number %d, and %d at a%d", id, other, n, s.Agent)
+			if other, known := numberByID[id]; known && other != n && isFirst("id"+id) {
+				add("changed", s.AskedAt, "%s has number %d, but %d according to a%d", id, other, n, s.Agent)
 			}
-			ids[n], numbers[id] = id, n
+			idByNumber[n], numberByID[id] = id, n
 		}
 	}
 	for _, c := range r.Submissions {
 		if c.Number == 0 {
 			continue
 		}
-		for _, s := range seen {
-			if s.AppliedIndex >= c.Number && c.Number >= s.oldestNumber && s.RecentCommands[c.Number] != c.ID && once("lost"+c.ID) {
-				add("lost", s.AskedAt, "%s was answered with number %d; a%d has applied %d and holds %q there", c.ID, c.Number, s.Agent, s.AppliedIndex, s.RecentCommands[c.Number])
+		for _, s := range reports {
+			if s.AppliedIndex >= c.Number && c.Number >= s.oldestNumber && s.RecentCommands[c.Number] != c.ID && isFirst("lost"+c.ID) {
+				add("lost", s.AskedAt, "%s was answered with number %d, but a%d has applied commands up to %d and has %q there", c.ID, c.Number, s.Agent, s.AppliedIndex, s.RecentCommands[c.Number])
 			}
 		}
-		if numbers[c.ID] != c.Number && once("lost"+c.ID) {
-			add("lost", c.EndedAt, "%s was answered with number %d by a%d and never seen there: it was seen at %d, and there %q", c.ID, c.Number, c.Agent, numbers[c.ID], ids[c.Number])
+		if numberByID[c.ID] != c.Number && isFirst("lost"+c.ID) {
+			add("lost", c.EndedAt, "%s was answered with number %d by a%d, but was never seen there: it was seen at %d, and %q at the answered number", c.ID, c.Number, c.Agent, numberByID[c.ID], idByNumber[c.Number])
 		}
 	}
-	for _, f := range r.UnexpectedExits {
-		add("fell", f.At, "a%d ended by itself", f.Agent)
+	for _, exit := range r.UnexpectedExits {
+		add("fell", exit.At, "a%d exited by itself", exit.Agent)
 	}
-	found = append(found, checkLinearizability(r.Submissions, numbers)...)
-	found = append(found, checkInstances(r, ids)...)
-	found = append(found, checkDutyHolders(seen)...)
+	breaches = append(breaches, checkLinearizability(r.Submissions, numberByID)...)
+	breaches = append(breaches, checkInstances(r, idByNumber)...)
+	breaches = append(breaches, checkDutyHolders(reports)...)
 	if r.HasInstances && r.AgentSettleTime > 0 && (r.InstanceSettleTime == 0 || r.InstanceSettleTime > bound+InstanceSettleBound) {
-		add("not settled", r.LastFaultEnd, "instances went by the last order %v after the last fault (0: never); the bound is %v", r.InstanceSettleTime.Round(time.Millisecond), bound+InstanceSettleBound)
+		add("not settled", r.LastFaultEnd, "all instances had applied the last order %v after the last fault (0: never); the bound is %v", r.InstanceSettleTime.Round(time.Millisecond), bound+InstanceSettleBound)
 	}
 	if r.AgentSettleTime == 0 || r.AgentSettleTime > bound {
-		add("not settled", r.LastFaultEnd, "%v after the last fault (0: never); the bound is %v", r.AgentSettleTime.Round(time.Millisecond), bound)
+		add("not settled", r.LastFaultEnd, "all agents had applied a new command %v after the last fault (0: never); the bound is %v", r.AgentSettleTime.Round(time.Millisecond), bound)
 	}
-	return found
+	return breaches
 }
 
-// checkInstances judges what instances went by; ids are the commands that were agreed on, by number.
-func checkInstances(r Record, ids map[uint64]string) (found []Breach) {
-	held := slices.Clone(r.InstanceReports)
-	slices.SortStableFunc(held, func(a, b InstanceReport) int { return cmp.Compare(a.AskedAt, b.AskedAt) })
-	before := map[string]InstanceReport{}
-	told := map[string]bool{}
-	for _, h := range held {
-		b, known := before[h.Instance]
-		before[h.Instance] = h
-		add := func(kind, what string, about ...any) {
-			if key := kind + h.Instance; !told[key] {
-				told[key] = true
-				found = append(found, Breach{kind, h.AskedAt, h.Instance + ": " + fmt.Sprintf(what, about...)})
+// checkInstances finds the breaches stale and forgot. idByNumber has the IDs of the committed commands. Each kind is reported once per
+// instance.
+func checkInstances(r Record, idByNumber map[uint64]string) (breaches []Breach) {
+	reports := slices.Clone(r.InstanceReports)
+	slices.SortStableFunc(reports, func(a, b InstanceReport) int { return cmp.Compare(a.AskedAt, b.AskedAt) })
+	lastReports := map[string]InstanceReport{}
+	isReported := map[string]bool{}
+	for _, report := range reports {
+		last, known := lastReports[report.Instance]
+		lastReports[report.Instance] = report
+		add := func(kind, format string, args ...any) {
+			if key := kind + report.Instance; !isReported[key] {
+				isReported[key] = true
+				breaches = append(breaches, Breach{kind, report.AskedAt, report.Instance + ": " + fmt.Sprintf(format, args...)})
 			}
 		}
 		kind := "stale"
-		if known && b.ProcessStartMicros != h.ProcessStartMicros {
+		if known && last.ProcessStartMicros != report.ProcessStartMicros {
 			kind = "forgot"
 		}
-		if known && kind == "stale" && h.Term < b.Term {
-			add(kind, "heard an author of term %d, and now goes by one of term %d", b.Term, h.Term)
+		if known && kind == "stale" && report.Term < last.Term {
+			add(kind, "had orders of an author of term %d, and now of term %d", last.Term, report.Term)
 		}
-		disk := slices.ContainsFunc(r.Faults, func(f Fault) bool {
-			return (f.Kind == DiskLost || f.Kind == DiskRolledBack) && f.Target == h.Machine
+		hasDiskFault := slices.ContainsFunc(r.Faults, func(f Fault) bool {
+			return (f.Kind == DiskLost || f.Kind == DiskRolledBack) && f.Target == report.Machine
 		})
-		for _, server := range slices.Sorted(maps.Keys(b.Orders)) {
-			if was, is := b.Orders[server], h.Orders[server]; is.Number < was.Number && !(kind == "forgot" && disk) {
-				add(kind, "went by number %d on %s, and now by %d", was.Number, server, is.Number)
+		for _, server := range slices.Sorted(maps.Keys(last.Orders)) {
+			if lastOrder, order := last.Orders[server], report.Orders[server]; order.Number < lastOrder.Number && !(kind == "forgot" && hasDiskFault) {
+				add(kind, "had applied number %d on %s, and now has %d", lastOrder.Number, server, order.Number)
 			}
 		}
-		for server, o := range h.Orders {
-			if id, known := ids[o.Number]; known && id != o.ID {
-				add("stale", "goes by %q as number %d on %s, and %q was agreed on there", o.ID, o.Number, server, id)
+		for server, order := range report.Orders {
+			if id, known := idByNumber[order.Number]; known && id != order.ID {
+				add("stale", "has applied %q as number %d on %s, but the committed command is %q", order.ID, order.Number, server, id)
 			}
 		}
 	}
-	return found
+	return breaches
 }
 
-// checkDutyHolders judges who could act on duties; what agents told is in the order of time.
-func checkDutyHolders(seen []AgentReport) (found []Breach) {
-	type acted struct {
+// checkDutyHolders finds the breach two holders. The reports must be in the order of AskedAt.
+func checkDutyHolders(reports []AgentReport) (breaches []Breach) {
+	type holding struct {
 		token uint64
-		by    int
-		at    time.Duration // when that was known at the latest
+		agent int
+		at    time.Duration // when the agent's report had arrived
 	}
-	highest := map[string][]acted{} // by duty, rising tokens
-	told := map[string]bool{}
-	for _, s := range seen {
-		for _, duty := range slices.Sorted(maps.Keys(s.HeldDuties)) {
-			token := s.HeldDuties[duty]
-			for _, other := range highest[duty] {
-				if key := fmt.Sprint(duty, token, other.token); other.token > token && other.at < s.AskedAt && !told[key] {
-					told[key] = true
-					found = append(found, Breach{"two holders", s.AskedAt, fmt.Sprintf("a%d can act on %s by token %d, and a%d could by token %d at %v", s.Agent, duty, token, other.by, other.token, other.at)})
+	holdings := map[string][]holding{} // by duty, the first of each token
+	isReported := map[string]bool{}
+	for _, report := range reports {
+		for _, duty := range slices.Sorted(maps.Keys(report.HeldDuties)) {
+			token := report.HeldDuties[duty]
+			for _, other := range holdings[duty] {
+				if key := fmt.Sprint(duty, token, other.token); other.token > token && other.at < report.AskedAt && !isReported[key] {
+					isReported[key] = true
+					breaches = append(breaches, Breach{"two holders", report.AskedAt, fmt.Sprintf("a%d may act on %s with token %d, but a%d already could with token %d at %v", report.Agent, duty, token, other.agent, other.token, other.at)})
 				}
-				if other.token == token && other.by != s.Agent && !told[fmt.Sprint(duty, token)] {
-					told[fmt.Sprint(duty, token)] = true
-					found = append(found, Breach{"two holders", s.AskedAt, fmt.Sprintf("a%d and a%d can act on %s by the same token %d", other.by, s.Agent, duty, token)})
+				if other.token == token && other.agent != report.Agent && !isReported[fmt.Sprint(duty, token)] {
+					isReported[fmt.Sprint(duty, token)] = true
+					breaches = append(breaches, Breach{"two holders", report.AskedAt, fmt.Sprintf("a%d and a%d may both act on %s with token %d", other.agent, report.Agent, duty, token)})
 				}
 			}
-			if !slices.ContainsFunc(highest[duty], func(a acted) bool { return a.token == token }) {
-				highest[duty] = append(highest[duty], acted{token, s.Agent, s.AnsweredAt})
+			if !slices.ContainsFunc(holdings[duty], func(h holding) bool { return h.token == token }) {
+				holdings[duty] = append(holdings[duty], holding{token, report.Agent, report.AnsweredAt})
 			}
 		}
 	}
-	return found
+	return breaches
 }
 
-// UnheldGaps is how long nobody could act on a duty, each time that it went to another, or for longer than looks are apart: from when an agent that could was seen last until one was seen again, in
-// the order of length. Looks come each 40 ms, so that it is told up to twice as much too long.
+// UnheldGaps returns how long no agent could act on a duty, each time that the duty got a new token or that no holder was seen for
+// several polls, sorted by length. A gap is the time from the last report of a holder to the next, so that it is too long by up to twice
+// agentPollInterval.
 func (r Record) UnheldGaps(duty string) (gaps []time.Duration) {
-	last, by := time.Duration(-1), uint64(0)
-	seen := slices.Clone(r.AgentReports)
-	slices.SortStableFunc(seen, func(a, b AgentReport) int { return cmp.Compare(a.AskedAt, b.AskedAt) })
-	for _, s := range seen {
-		if s.HeldDuties[duty] == 0 {
+	lastSeen, lastToken := time.Duration(-1), uint64(0)
+	reports := slices.Clone(r.AgentReports)
+	slices.SortStableFunc(reports, func(a, b AgentReport) int { return cmp.Compare(a.AskedAt, b.AskedAt) })
+	for _, report := range reports {
+		if report.HeldDuties[duty] == 0 {
 			continue
 		}
-		if last >= 0 && (s.AskedAt-last > 4*agentPollInterval || by != s.HeldDuties[duty]) {
-			gaps = append(gaps, s.AskedAt-last)
+		if lastSeen >= 0 && (report.AskedAt-lastSeen > 4*agentPollInterval || lastToken != report.HeldDuties[duty]) {
+			gaps = append(gaps, report.AskedAt-lastSeen)
 		}
-		last, by = s.AskedAt, s.HeldDuties[duty]
+		lastSeen, lastToken = report.AskedAt, report.HeldDuties[duty]
 	}
 	slices.Sort(gaps)
 	return gaps
 }
 
-// checkLinearizability tells what answers fit no log that is one: each command takes a place after all that were answered before it was
-// said, and is answered with that place however often it is said. As the places are told, one pass in their order decides it:
-// the earliest moment at which a command can have taken its place is when it was said first, or the moment of the one before it
-// if that is later, and must not come after its first answer. places are those that were seen.
-func checkLinearizability(said []Submission, places map[string]uint64) (breaches []Breach) {
-	type turn struct {
-		id          string
-		place       uint64
-		first, last time.Duration // when it can have taken it at the earliest, and at the latest
+// checkLinearizability finds the breach out of order. In a single log, the place of a command comes after those of all commands that were
+// answered before it was submitted, and every submission of a command is answered with the same place. As the answers give the places,
+// one pass in their order is enough: the earliest moment at which a command can have taken its place is that of its first submission, or
+// that of the command before it if that is later, and it must not be after the command's first answer. places has the numbers of
+// commands that agents reported, by ID.
+func checkLinearizability(submissions []Submission, places map[string]uint64) (breaches []Breach) {
+	type placement struct {
+		id               string
+		place            uint64
+		earliest, latest time.Duration // when the command can have taken its place
 	}
-	turns := map[string]*turn{}
-	for _, s := range said {
-		t := turns[s.ID]
-		if t == nil {
-			t = &turn{s.ID, places[s.ID], s.SubmittedAt, math.MaxInt64}
-			turns[s.ID] = t
+	placements := map[string]*placement{}
+	for _, s := range submissions {
+		p := placements[s.ID]
+		if p == nil {
+			p = &placement{s.ID, places[s.ID], s.SubmittedAt, math.MaxInt64}
+			placements[s.ID] = p
 		}
-		t.first = min(t.first, s.SubmittedAt)
+		p.earliest = min(p.earliest, s.SubmittedAt)
 		if s.Number == 0 {
 			continue
 		}
-		if t.place != 0 && t.place != s.Number {
-			breaches = append(breaches, Breach{"out of order", s.EndedAt, fmt.Sprintf("%s is number %d, and was answered with %d", s.ID, t.place, s.Number)})
+		if p.place != 0 && p.place != s.Number {
+			breaches = append(breaches, Breach{"out of order", s.EndedAt, fmt.Sprintf("%s has number %d, but was answered with %d", s.ID, p.place, s.Number)})
 		}
-		t.place, t.last = s.Number, min(t.last, s.EndedAt)
+		p.place, p.latest = s.Number, min(p.latest, s.EndedAt)
 	}
-	inTurn := slices.SortedFunc(maps.Values(turns), func(a, b *turn) int { return cmp.Compare(a.place, b.place) })
-	var before turn
-	for _, t := range inTurn {
-		if t.place == 0 {
-			continue // it never was, or nobody can tell
+	inOrder := slices.SortedFunc(maps.Values(placements), func(a, b *placement) int { return cmp.Compare(a.place, b.place) })
+	var previous placement // the command with the latest earliest moment so far
+	for _, p := range inOrder {
+		if p.place == 0 {
+			continue // it was not committed, or its number is unknown
 		}
-		if t.first > before.first {
-			before = *t
+		if p.earliest > previous.earliest {
+			previous = *p
 		}
-		if before.first > t.last {
-			breaches = append(breaches, Breach{"out of order", t.last, fmt.Sprintf("%s was answered with %d before %s was said, which is number %d", t.id, t.place, before.id, before.place)})
+		if previous.earliest > p.latest {
+			breaches = append(breaches, Breach{"out of order", p.latest, fmt.Sprintf("%s was answered with %d before %s was submitted, which has number %d", p.id, p.place, previous.id, previous.place)})
 		}
 	}
 	return breaches
 }
 
+// sortedNumbers returns the keys of m in rising order.
 func sortedNumbers(m map[uint64]string) []uint64 { return slices.Sorted(maps.Keys(m)) }
 
-// Bound is how long after the last fault agents may take to agree on a new command and all have it; docs/faults.md
-// derives it, and that instances go by it TellingBound later.
 const (
-	SettleBound         = 17 * time.Second
+	// SettleBound is how long agents may take after the last fault to commit a new command and all apply it; docs/faults.md derives
+	// it.
+	SettleBound = 17 * time.Second
+	// InstanceSettleBound is how long instances may take after that to apply it; docs/faults.md derives it.
 	InstanceSettleBound = 3 * time.Second
-	// UnheldDutyBound is how long nobody may be able to act on a duty after its holder and the agent that gives it are lost in one instant,
-	// while most agents run and reach each other; docs/duties.md derives it.
+	// UnheldDutyBound is how long no agent may be able to act on a duty after its holder and the agent that grants it are lost at the
+	// same time, while a majority of the agents run and reach each other; docs/duties.md derives it.
 	UnheldDutyBound = 6 * time.Second
 )
--- a/lab/chaos/record.go
+++ b/lab/chaos/record.go
@@ -13,143 +13,148 @@
 )
 
 const (
-	// firstAgreementTimeout is how long the agents may take to agree for the first time, on a busy machine.
+	// firstAgreementTimeout bounds the time that the agents take to commit their first command, also on a busy host.
 	firstAgreementTimeout = 30 * time.Second
-	// settleTimeout is how long a run waits for them to settle: longer than any bound that is judged by.
+	// settleTimeout bounds the wait for the agents to settle. It is longer than any bound that a record is checked against.
 	settleTimeout     = 40 * time.Second
 	agentPollInterval = 40 * time.Millisecond
 	commandInterval   = 40 * time.Millisecond
-	// instancePollInterval is how often an instance is asked what it goes by: often enough to see each order, far below what a surface takes.
+	// instancePollInterval is short enough to see each order, and so long that it is far below the rate that a control API can serve.
 	instancePollInterval = 200 * time.Millisecond
-	// commandTimeout is how long a client waits: a command that was passed on to a leader that is cut off says nothing for long.
+	// commandTimeout is how long a client waits for an answer: a command forwarded to a leader that is cut off gets none for long.
 	commandTimeout = time.Second
-	// repeatInterval is how many commands a client says until it says one again, whose number is known: that is a read of the log.
-	repeatInterval = 8
+	// commandsPerRepeat is how often a client submits a command a second time, although it was answered: each time after this many
+	// commands. The answer must be the same number, so that a repetition reads the log.
+	commandsPerRepeat = 8
 )
 
-// Recorder notes what agents and instances tell of themselves, and what is said to them, until it is ended.
+// Recorder records what agents and instances report, which commands are submitted and which faults are injected, until Finish.
 type Recorder struct {
 	cluster   *Cluster
 	startedAt time.Time
 	mu        sync.Mutex
 	record    Record
-	done      chan struct{}
+	done      chan struct{} // closed by Finish
 	watchers  sync.WaitGroup
 }
 
-// StartRecording begins to watch agents and instances.
-func (m *Cluster) StartRecording(ctx context.Context) *Recorder {
-	rec := &Recorder{cluster: m, startedAt: time.Now(), record: Record{AgentCount: len(m.names)}, done: make(chan struct{})}
-	each := func(every time.Duration, look func()) {
-		rec.watchers.Go(func() {
+// StartRecording starts to poll all agents and instances. Polls bypass the links.
+func (c *Cluster) StartRecording(ctx context.Context) *Recorder {
+	r := &Recorder{cluster: c, startedAt: time.Now(), record: Record{AgentCount: len(c.names)}, done: make(chan struct{})}
+	repeat := func(interval time.Duration, poll func()) {
+		r.watchers.Go(func() {
 			for {
 				select {
-				case <-rec.done:
+				case <-r.done:
 					return
-				case <-time.After(every):
-					look()
+				case <-time.After(interval):
+					poll()
 				}
 			}
 		})
 	}
-	for a := range m.names {
-		each(agentPollInterval, func() {
-			if s, err := rec.pollAgent(ctx, a); err == nil { // of one that is crashed or stopped nothing is seen
-				rec.update(func(r *Record) { r.AgentReports = append(r.AgentReports, s) })
+	for machine := range c.names {
+		repeat(agentPollInterval, func() {
+			if report, err := r.pollAgent(ctx, machine); err == nil { // a crashed or paused agent gives no report
+				r.update(func(record *Record) { record.AgentReports = append(record.AgentReports, report) })
 			}
 		})
-		if m.InstanceConfigs == nil {
+		if c.InstanceConfigs == nil {
 			continue
 		}
-		for _, i := range m.InstanceConfigs(a) {
-			c := control.NewClient(i.ControlAddress)
-			each(instancePollInterval, func() {
-				if h, err := rec.pollInstance(ctx, c, a, i.Name); err == nil {
-					rec.update(func(r *Record) { r.InstanceReports = append(r.InstanceReports, h) })
+		for _, i := range c.InstanceConfigs(machine) {
+			client := control.NewClient(i.ControlAddress)
+			repeat(instancePollInterval, func() {
+				if report, err := r.pollInstance(ctx, client, machine, i.Name); err == nil {
+					r.update(func(record *Record) { record.InstanceReports = append(record.InstanceReports, report) })
 				}
 			})
 		}
 	}
-	return rec
+	return r
 }
 
-func (rec *Recorder) update(how func(*Record)) {
-	rec.mu.Lock()
-	defer rec.mu.Unlock()
-	how(&rec.record)
+// update calls change with the record while no other goroutine uses it.
+func (r *Recorder) update(change func(*Record)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	change(&r.record)
 }
 
-// Submit has an agent say a command, and notes what came of it.
-func (rec *Recorder) Submit(ctx context.Context, a int, c clusterstate.Command, within time.Duration) (uint64, error) {
-	s := Submission{ID: c.ID, Agent: a, SubmittedAt: time.Since(rec.startedAt)}
-	err := rec.cluster.callAgent(ctx, a, within, func(ctx context.Context, client *agent.Client) (err error) {
-		s.Number, err = client.Submit(ctx, c)
+// Submit submits a command to an agent and records the outcome. It returns the command's number in the log, or an error if the agent
+// did not confirm within the timeout that the command was committed; it may be committed all the same.
+func (r *Recorder) Submit(ctx context.Context, machine int, c clusterstate.Command, timeout time.Duration) (uint64, error) {
+	submission := Submission{ID: c.ID, Agent: machine, SubmittedAt: time.Since(r.startedAt)}
+	err := r.cluster.callAgent(ctx, machine, timeout, func(ctx context.Context, client *agent.Client) (err error) {
+		submission.Number, err = client.Submit(ctx, c)
 		return err
 	})
 	if err != nil {
-		s.Number = 0
+		submission.Number = 0
 	}
-	s.EndedAt = time.Since(rec.startedAt)
-	rec.update(func(r *Record) { r.Submissions = append(r.Submissions, s) })
-	return s.Number, err
+	submission.EndedAt = time.Since(r.startedAt)
+	r.update(func(record *Record) { record.Submissions = append(record.Submissions, submission) })
+	return submission.Number, err
 }
 
-// InjectFault plays a fault now, from its begin to its end, and notes it.
-func (rec *Recorder) InjectFault(ctx context.Context, f Fault) error {
-	f.At = time.Since(rec.startedAt)
+// InjectFault causes a fault now and records it. It returns when the fault has ended.
+func (r *Recorder) InjectFault(ctx context.Context, f Fault) error {
+	f.At = time.Since(r.startedAt)
 	if f.Target < 0 {
-		f.Target = rec.resolveTarget(f.Target)
+		f.Target = r.resolveTarget(f.Target)
 	}
-	rec.update(func(r *Record) { r.Faults = append(r.Faults, f) })
-	err := rec.cluster.injectFault(ctx, f)
-	rec.update(func(r *Record) { r.LastFaultEnd = time.Since(rec.startedAt) })
+	r.update(func(record *Record) { record.Faults = append(record.Faults, f) })
+	err := r.cluster.injectFault(ctx, f)
+	r.update(func(record *Record) { record.LastFaultEnd = time.Since(r.startedAt) })
 	return err
 }
 
-// resolveTarget is the agent that is meant by a number below 0, as it was seen last; the first if nobody is.
-func (rec *Recorder) resolveTarget(on int) (a int) {
-	rec.update(func(r *Record) {
-		for _, s := range r.AgentReports {
-			if on == TargetLeader && s.IsLeader || on == TargetHolder && len(s.HeldDuties) > 0 {
-				a = s.Agent
+// resolveTarget returns the machine whose agent was last reported as leader (TargetLeader) or as holder of any duty (TargetHolder);
+// 0 if there was none.
+func (r *Recorder) resolveTarget(target int) (machine int) {
+	r.update(func(record *Record) {
+		for _, report := range record.AgentReports {
+			if target == TargetLeader && report.IsLeader || target == TargetHolder && len(report.HeldDuties) > 0 {
+				machine = report.Agent
 			}
 		}
 	})
-	return a
+	return machine
 }
 
-// AwaitSettled waits until a new command is agreed on, and all agents and instances have it; it notes how long that took since the
-// last fault ended. The command undoes an order that never was, on a server.
-func (rec *Recorder) AwaitSettled(ctx context.Context, server string) {
-	m, n, number := rec.cluster, 0, uint64(0)
-	for a := range m.names {
-		m.ResumeMachine(a) // one fault may have stopped what another started anew
+// AwaitSettled waits until the agents have committed a new command and all agents and instances have applied it, and records how long
+// after the end of the last fault that was; a time that is not reached within settleTimeout stays 0. The command ends a drain of the
+// given server, which should not be draining, so that it has no effect.
+func (r *Recorder) AwaitSettled(ctx context.Context, server string) {
+	c, attempts, number := r.cluster, 0, uint64(0)
+	for machine := range c.names {
+		c.ResumeMachine(machine) // overlapping faults may have paused what another fault started
 	}
 	end := time.Now().Add(settleTimeout)
-	var ended time.Duration
-	rec.update(func(r *Record) {
-		if len(r.Faults) == 0 {
-			r.LastFaultEnd = time.Since(rec.startedAt)
+	var lastFaultEnd time.Duration
+	r.update(func(record *Record) {
+		if len(record.Faults) == 0 {
+			record.LastFaultEnd = time.Since(r.startedAt)
 		}
-		ended = r.LastFaultEnd
+		lastFaultEnd = record.LastFaultEnd
 	})
-	supervise := func() { // as whoever runs agents starts those again that have ended
-		for a := range m.names {
-			_ = m.StartAgent(a)
+	restartExited := func() { // as a service manager restarts agents that have exited
+		for machine := range c.names {
+			_ = c.StartAgent(machine)
 		}
 	}
-	err := waitUntil(ctx, settleTimeout, func() (good bool) {
-		supervise()
+	err := waitUntil(ctx, settleTimeout, func() (ok bool) {
+		restartExited()
 		var err error
-		number, err = rec.Submit(ctx, n%len(m.names), clusterstate.Command{ID: fmt.Sprint("last", n), Verb: clusterstate.Undrain, Server: server}, commandTimeout)
-		n++
+		number, err = r.Submit(ctx, attempts%len(c.names), clusterstate.Command{ID: fmt.Sprint("last", attempts), Verb: clusterstate.Undrain, Server: server}, commandTimeout)
+		attempts++
 		return err == nil
 	})
 	if err == nil {
 		err = waitUntil(ctx, time.Until(end), func() bool {
-			supervise()
-			for a := range m.names {
-				if s, err := rec.pollAgent(ctx, a); err != nil || s.AppliedIndex < number {
+			restartExited()
+			for machine := range c.names {
+				if report, err := r.pollAgent(ctx, machine); err != nil || report.AppliedIndex < number {
 					return false
 				}
 			}
@@ -159,159 +164,162 @@
 	if err != nil {
 		return
 	}
-	settled := time.Since(rec.startedAt) - ended
+	agentSettleTime := time.Since(r.startedAt) - lastFaultEnd
 	err = waitUntil(ctx, time.Until(end), func() bool {
-		for a := range m.names {
-			for _, i := range m.instanceConfigs(a) {
-				c := control.NewClient(i.ControlAddress)
-				h, err := rec.pollInstance(ctx, c, a, i.Name)
-				c.Close()
-				if err != nil || h.Orders[server].Number < number {
+		for machine := range c.names {
+			for _, i := range c.instanceConfigs(machine) {
+				client := control.NewClient(i.ControlAddress)
+				report, err := r.pollInstance(ctx, client, machine, i.Name)
+				client.Close()
+				if err != nil || report.Orders[server].Number < number {
 					return false
 				}
 			}
 		}
 		return true
 	})
-	rec.update(func(r *Record) {
-		r.AgentSettleTime = settled
-		if err == nil && m.InstanceConfigs != nil {
-			r.InstanceSettleTime = time.Since(rec.startedAt) - ended
+	r.update(func(record *Record) {
+		record.AgentSettleTime = agentSettleTime
+		if err == nil && c.InstanceConfigs != nil {
+			record.InstanceSettleTime = time.Since(r.startedAt) - lastFaultEnd
 		}
 	})
 }
 
-// Finish ends the watch and returns the record.
-func (rec *Recorder) Finish(ctx context.Context) Record {
-	close(rec.done)
-	rec.watchers.Wait()
-	// What was said last is looked for once more: a record that ends before it would accuse the agents.
-	_ = waitUntil(ctx, 2*time.Second, func() bool { return rec.record.AgentSettleTime == 0 || rec.pollAllAgents(ctx) })
-	rec.cluster.mu.Lock()
-	defer rec.cluster.mu.Unlock()
-	for _, f := range rec.cluster.unexpectedExits {
-		rec.record.UnexpectedExits = append(rec.record.UnexpectedExits, RecordedExit{f.Agent, f.At.Sub(rec.startedAt)})
+// Finish stops the polls and returns the record.
+func (r *Recorder) Finish(ctx context.Context) Record {
+	close(r.done)
+	r.watchers.Wait()
+	// Polls once more until the last committed commands are seen: a record that ends before them would make them look lost.
+	_ = waitUntil(ctx, 2*time.Second, func() bool { return r.record.AgentSettleTime == 0 || r.pollAllAgents(ctx) })
+	r.cluster.mu.Lock()
+	defer r.cluster.mu.Unlock()
+	for _, exit := range r.cluster.unexpectedExits {
+		r.record.UnexpectedExits = append(r.record.UnexpectedExits, RecordedExit{exit.Agent, exit.At.Sub(r.startedAt)})
 	}
-	rec.record.HasInstances = rec.cluster.InstanceConfigs != nil
-	return rec.record
+	r.record.HasInstances = r.cluster.InstanceConfigs != nil
+	return r.record
 }
 
-// pollAllAgents notes what each agent tells now; true if all have what was answered last.
-func (rec *Recorder) pollAllAgents(ctx context.Context) bool {
+// pollAllAgents records a report of each agent. It returns true if all agents answered and have applied all commands that were
+// answered with a number.
+func (r *Recorder) pollAllAgents(ctx context.Context) bool {
 	var last uint64
-	for _, s := range rec.record.Submissions {
-		last = max(last, s.Number)
+	for _, submission := range r.record.Submissions {
+		last = max(last, submission.Number)
 	}
 	all := true
-	for a := range rec.cluster.names {
-		s, err := rec.pollAgent(ctx, a)
+	for machine := range r.cluster.names {
+		report, err := r.pollAgent(ctx, machine)
 		if err != nil {
 			return false
 		}
-		rec.record.AgentReports = append(rec.record.AgentReports, s)
-		all = all && s.AppliedIndex >= last
+		r.record.AgentReports = append(r.record.AgentReports, report)
+		all = all && report.AppliedIndex >= last
 	}
 	return all
 }
 
-// pollAgent asks an agent what it knows.
-func (rec *Recorder) pollAgent(ctx context.Context, a int) (AgentReport, error) {
-	s := AgentReport{Agent: a, AskedAt: time.Since(rec.startedAt), RecentCommands: map[uint64]string{}}
-	err := rec.cluster.callAgent(ctx, a, time.Second, func(ctx context.Context, c *agent.Client) error {
-		v, err := c.View(ctx)
-		s.IsLeader, s.Term, s.AppliedIndex, s.HeldDuties = v.IsLeader, v.Term, v.AppliedIndex, v.HeldDuties
-		for _, e := range v.RecentCommands {
-			s.RecentCommands[e.Number] = e.ID
+// pollAgent asks an agent for its view.
+func (r *Recorder) pollAgent(ctx context.Context, machine int) (AgentReport, error) {
+	report := AgentReport{Agent: machine, AskedAt: time.Since(r.startedAt), RecentCommands: map[uint64]string{}}
+	err := r.cluster.callAgent(ctx, machine, time.Second, func(ctx context.Context, client *agent.Client) error {
+		view, err := client.View(ctx)
+		report.IsLeader, report.Term, report.AppliedIndex, report.HeldDuties = view.IsLeader, view.Term, view.AppliedIndex, view.HeldDuties
+		for _, entry := range view.RecentCommands {
+			report.RecentCommands[entry.Number] = entry.ID
 		}
 		return err
 	})
-	s.AnsweredAt = time.Since(rec.startedAt)
-	return s, err
+	report.AnsweredAt = time.Since(r.startedAt)
+	return report, err
 }
 
-// pollInstance asks an instance itself what it goes by.
-func (rec *Recorder) pollInstance(ctx context.Context, c *control.Client, a int, name string) (InstanceReport, error) {
+// pollInstance asks an instance, not its agent, for its status.
+func (r *Recorder) pollInstance(ctx context.Context, client *control.Client, machine int, name string) (InstanceReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	h := InstanceReport{Instance: name, Machine: a, AskedAt: time.Since(rec.startedAt), Orders: map[string]AppliedOrder{}}
-	st, err := c.Status(ctx)
+	report := InstanceReport{Instance: name, Machine: machine, AskedAt: time.Since(r.startedAt), Orders: map[string]AppliedOrder{}}
+	status, err := client.Status(ctx)
 	if err != nil {
-		return h, err
+		return report, err
 	}
-	h.ProcessStartMicros, h.Term = st.StartedMicros, st.Term
-	for _, o := range st.Orders {
-		h.Orders[o.ServerUID] = AppliedOrder{o.Number, o.ID}
+	report.ProcessStartMicros, report.Term = status.StartedMicros, status.Term
+	for _, order := range status.Orders {
+		report.Orders[order.ServerUID] = AppliedOrder{order.Number, order.ID}
 	}
-	return h, nil
+	return report, nil
 }
 
-// RunSchedule has the agents run under the faults while clients have them say commands, and returns what was seen.
-func (m *Cluster) RunSchedule(ctx context.Context, faults []Fault) (Record, error) {
-	for a := range m.names {
-		if err := m.StartAgent(a); err != nil {
+// RunSchedule starts the agents, injects the faults at their times while a client of each agent submits commands, waits until the
+// agents have settled and returns the record. Errors are those of starting agents and injecting faults, not breaches.
+func (c *Cluster) RunSchedule(ctx context.Context, faults []Fault) (Record, error) {
+	for machine := range c.names {
+		if err := c.StartAgent(machine); err != nil {
 			return Record{}, err
 		}
 	}
-	if err := m.AwaitFirstAgreement(ctx); err != nil {
+	if err := c.AwaitFirstAgreement(ctx); err != nil {
 		return Record{}, err
 	}
-	rec := m.StartRecording(ctx)
+	r := c.StartRecording(ctx)
 	var clients sync.WaitGroup
-	over := make(chan struct{})
-	for a := range m.names { // a client each: one that is held up holds up nobody else
+	stop := make(chan struct{})
+	for machine := range c.names { // a client for each agent, so that an agent that does not answer delays no other client
 		clients.Go(func() {
 			for n := 0; ; n++ {
 				select {
-				case <-over:
+				case <-stop:
 					return
 				case <-time.After(commandInterval):
 				}
-				c := clusterstate.Command{ID: fmt.Sprintf("c%d-%d", a, n), Verb: clusterstate.Drain, Server: fmt.Sprint("s", n%10)}
-				if _, err := rec.Submit(ctx, a, c, commandTimeout); err != nil || n%repeatInterval == 0 {
-					_, _ = rec.Submit(ctx, (a+1)%len(m.names), c, commandTimeout) // what became of it is heard elsewhere, by saying it again
+				command := clusterstate.Command{ID: fmt.Sprintf("c%d-%d", machine, n), Verb: clusterstate.Drain, Server: fmt.Sprint("s", n%10)}
+				if _, err := r.Submit(ctx, machine, command, commandTimeout); err != nil || n%commandsPerRepeat == 0 {
+					_, _ = r.Submit(ctx, (machine+1)%len(c.names), command, commandTimeout) // the same ID at another agent gives the outcome, if it is known there
 				}
 			}
 		})
 	}
-	wrong := make([]error, len(faults))
-	var playing sync.WaitGroup
+	faultErrors := make([]error, len(faults))
+	var injections sync.WaitGroup
 	for i, f := range faults {
-		playing.Go(func() {
+		injections.Go(func() {
 			select {
 			case <-time.After(f.At):
-				wrong[i] = rec.InjectFault(ctx, f)
+				faultErrors[i] = r.InjectFault(ctx, f)
 			case <-ctx.Done():
 			}
 		})
 	}
-	playing.Wait()
-	rec.AwaitSettled(ctx, "s-last")
-	close(over)
+	injections.Wait()
+	r.AwaitSettled(ctx, "s-last")
+	close(stop)
 	clients.Wait()
-	return rec.Finish(ctx), errors.Join(wrong...)
+	return r.Finish(ctx), errors.Join(faultErrors...)
 }
 
-// AwaitFirstAgreement waits until the agents agree for the first time.
-func (m *Cluster) AwaitFirstAgreement(ctx context.Context) error {
-	first := 0
+// AwaitFirstAgreement waits until the agents have committed their first command. It returns an error after firstAgreementTimeout.
+func (c *Cluster) AwaitFirstAgreement(ctx context.Context) error {
+	attempts := 0
 	err := waitUntil(ctx, firstAgreementTimeout, func() bool {
-		first++
-		return m.callAgent(ctx, first%len(m.names), callTimeout, func(ctx context.Context, c *agent.Client) error {
-			_, err := c.Submit(ctx, clusterstate.Command{ID: "first", Verb: clusterstate.Undrain, Server: "s-first"})
+		attempts++
+		return c.callAgent(ctx, attempts%len(c.names), callTimeout, func(ctx context.Context, client *agent.Client) error {
+			_, err := client.Submit(ctx, clusterstate.Command{ID: "first", Verb: clusterstate.Undrain, Server: "s-first"})
 			return err
 		}) == nil
 	})
 	if err != nil {
-		return fmt.Errorf("the agents never agreed on a first command: %w", err)
+		return fmt.Errorf("the agents did not commit a first command: %w", err)
 	}
 	return nil
 }
 
-// Shorten drops faults while what is left still breaks, and returns the shorter schedule. broken plays one.
-func Shorten(faults []Fault, broken func([]Fault) bool) []Fault {
+// Shorten removes faults from a schedule as long as fails, which runs a schedule, still returns true for the rest. It returns the
+// shorter schedule, which has at least one fault.
+func Shorten(faults []Fault, fails func([]Fault) bool) []Fault {
 	for i := 0; i < len(faults); {
 		fewer := append(append([]Fault{}, faults[:i]...), faults[i+1:]...)
-		if len(fewer) > 0 && broken(fewer) {
+		if len(fewer) > 0 && fails(fewer) {
 			faults = fewer
 		} else {
 			i++
--- a/lab/chaos/spec.go
+++ b/lab/chaos/spec.go
@@ -12,84 +12,86 @@
 	"hatchproxy/internal/tomlfile"
 )
 
-// Spec is what is to be drawn, as it is written down.
+// Spec describes a cluster and the faults to draw for its runs. It is read from a TOML file.
 type Spec struct {
-	AgentCount             int      `toml:"agents"` // all vote
-	SiteCount              int      `toml:"sites"`  // machine m stands in site m modulo this
-	FaultCount             int      `toml:"faults"` // a run
-	Kinds                  []string // all if missing
-	InterSiteDelaySeconds  float64  `toml:"between"` // seconds that a way between two sites takes
-	ElectionTimeoutSeconds float64  `toml:"beat"`    // seconds that a leader may be silent; 0 for the agents' own
-	HasClockErrors         bool     `toml:"clocks"`  // the agents' clocks are wrong
-	Duties                 []string // that all agents stand for
-	SettleBoundSeconds     float64  `toml:"settles"` // seconds after the last fault
+	AgentCount             int      `toml:"agents"` // 3 or 5; all are voters
+	SiteCount              int      `toml:"sites"`  // machine m is in site m modulo SiteCount
+	FaultCount             int      `toml:"faults"` // in each run
+	Kinds                  []string // kinds of faults to draw; all of AgentKinds if left out
+	InterSiteDelaySeconds  float64  `toml:"between"` // one-way delay between two sites
+	ElectionTimeoutSeconds float64  `toml:"beat"`    // how long a leader may be silent before an election; 0 for the agents' default
+	HasClockErrors         bool     `toml:"clocks"`  // the agents' clocks are inaccurate
+	Duties                 []string // duties that all agents are candidates for
+	SettleBoundSeconds     float64  `toml:"settles"` // how long agents may take to settle after the last fault
 }
 
-// ReadSpec reads one; an error tells file, line and cause.
+// ReadSpec reads and validates a file. Errors name the file, the key and the cause, and the line of syntax errors and unknown keys.
 func ReadSpec(path string) (*Spec, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	f := &Spec{}
-	if err := tomlfile.Decode(path, text, f); err != nil {
+	s := &Spec{}
+	if err := tomlfile.Decode(path, text, s); err != nil {
 		return nil, err
 	}
-	var faults []error
-	no := func(bad bool, what string, about ...any) {
-		if bad {
-			faults = append(faults, fmt.Errorf(what, about...))
+	var problems []error
+	reject := func(isInvalid bool, format string, args ...any) {
+		if isInvalid {
+			problems = append(problems, fmt.Errorf(format, args...))
 		}
 	}
-	no(f.AgentCount != 3 && f.AgentCount != 5, "agents: %d: three or five vote", f.AgentCount)
-	no(f.SiteCount < 1 || f.SiteCount > f.AgentCount, "sites: %d: 1 to the number of agents", f.SiteCount)
-	no(f.FaultCount < 1 || f.FaultCount > 100, "faults: %d: 1 to 100", f.FaultCount)
-	no(f.InterSiteDelaySeconds < 0 || f.InterSiteDelaySeconds > 0.5, "between: %g: 0 to 0.5 seconds", f.InterSiteDelaySeconds)
-	no(f.ElectionTimeoutSeconds < 0 || f.ElectionTimeoutSeconds > 10, "beat: %g: 0 to 10 seconds", f.ElectionTimeoutSeconds)
-	no(f.SettleBoundSeconds < 1 || f.SettleBoundSeconds > settleTimeout.Seconds(), "settles: %g: 1 to %g seconds", f.SettleBoundSeconds, settleTimeout.Seconds())
-	for _, k := range f.Kinds {
-		no(!slices.Contains(AgentKinds, Kind(k)), "kinds: %q is none of %v", k, AgentKinds)
+	reject(s.AgentCount != 3 && s.AgentCount != 5, "agents: %d: must be 3 or 5", s.AgentCount)
+	reject(s.SiteCount < 1 || s.SiteCount > s.AgentCount, "sites: %d: must be from 1 to the number of agents", s.SiteCount)
+	reject(s.FaultCount < 1 || s.FaultCount > 100, "faults: %d: must be from 1 to 100", s.FaultCount)
+	reject(s.InterSiteDelaySeconds < 0 || s.InterSiteDelaySeconds > 0.5, "between: %g: must be from 0 to 0.5 seconds", s.InterSiteDelaySeconds)
+	reject(s.ElectionTimeoutSeconds < 0 || s.ElectionTimeoutSeconds > 10, "beat: %g: must be from 0 to 10 seconds", s.ElectionTimeoutSeconds)
+	reject(s.SettleBoundSeconds < 1 || s.SettleBoundSeconds > settleTimeout.Seconds(), "settles: %g: must be from 1 to %g seconds", s.SettleBoundSeconds, settleTimeout.Seconds())
+	for _, kind := range s.Kinds {
+		reject(!slices.Contains(AgentKinds, Kind(kind)), "kinds: %q is not one of %v", kind, AgentKinds)
 	}
-	if err := errors.Join(faults...); err != nil {
+	if err := errors.Join(problems...); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if len(f.Kinds) == 0 {
-		for _, k := range AgentKinds {
-			f.Kinds = append(f.Kinds, string(k))
+	if len(s.Kinds) == 0 {
+		for _, kind := range AgentKinds {
+			s.Kinds = append(s.Kinds, string(kind))
 		}
 	}
-	return f, nil
+	return s, nil
 }
 
-// Schedule are the faults of a run.
-func (f *Spec) Schedule(seed int64) []Fault {
-	kinds := make([]Kind, len(f.Kinds))
-	for i, k := range f.Kinds {
-		kinds[i] = Kind(k)
+// Schedule returns the faults of the run with the given seed.
+func (s *Spec) Schedule(seed int64) []Fault {
+	kinds := make([]Kind, len(s.Kinds))
+	for i, kind := range s.Kinds {
+		kinds[i] = Kind(kind)
 	}
-	return DrawSchedule(seed, f.FaultCount, f.AgentCount, f.SiteCount, kinds)
+	return DrawSchedule(seed, s.FaultCount, s.AgentCount, s.SiteCount, kinds)
 }
 
-// ClusterConfig is what stands where, in a run with a seed.
-func (f *Spec) ClusterConfig(seed int64) ClusterConfig {
-	seconds := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
-	return ClusterConfig{AgentCount: f.AgentCount, SiteCount: f.SiteCount, Seed: seed, InterSiteDelay: seconds(f.InterSiteDelaySeconds), ElectionTimeout: seconds(f.ElectionTimeoutSeconds), HasClockErrors: f.HasClockErrors, Duties: f.Duties}
+// ClusterConfig returns the configuration of the cluster for the run with the given seed.
+func (s *Spec) ClusterConfig(seed int64) ClusterConfig {
+	duration := func(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+	return ClusterConfig{AgentCount: s.AgentCount, SiteCount: s.SiteCount, Seed: seed, InterSiteDelay: duration(s.InterSiteDelaySeconds), ElectionTimeout: duration(s.ElectionTimeoutSeconds), HasClockErrors: s.HasClockErrors, Duties: s.Duties}
 }
 
-// SettleBound is how long agents may take to settle.
-func (f *Spec) SettleBound() time.Duration {
-	return time.Duration(f.SettleBoundSeconds * float64(time.Second))
+// SettleBound returns how long agents may take to settle after the last fault.
+func (s *Spec) SettleBound() time.Duration {
+	return time.Duration(s.SettleBoundSeconds * float64(time.Second))
 }
 
-// Timeline writes a record down in time order: faults, what was said and answered, and each turn that an agent told of.
+// Timeline formats a record as text, a line per event in the order of time: faults, outcomes of commands, unexpected exits, changed
+// reports of agents and instances, and the last report of each agent. Times are in seconds since the start of the run. "goes by" marks
+// the orders that an instance has applied.
 func (r Record) Timeline() string {
 	type line struct {
 		at   time.Duration
 		text string
 	}
 	var lines []line
-	add := func(at time.Duration, what string, about ...any) {
-		lines = append(lines, line{at, fmt.Sprintf(what, about...)})
+	add := func(at time.Duration, format string, args ...any) {
+		lines = append(lines, line{at, fmt.Sprintf(format, args...)})
 	}
 	for _, f := range r.Faults {
 		add(f.At, "fault   %s", f)
@@ -101,25 +103,25 @@
 			add(s.EndedAt, "unknown a%d: %s", s.Agent, s.ID)
 		}
 	}
-	before := map[int]AgentReport{}
-	for _, s := range r.AgentReports {
-		if b := before[s.Agent]; b.Term != s.Term || b.IsLeader != s.IsLeader || s.AppliedIndex < b.AppliedIndex || !maps.Equal(b.HeldDuties, s.HeldDuties) {
-			add(s.AskedAt, "seen    a%d: term %d, leads %t, applied %d, holds %v", s.Agent, s.Term, s.IsLeader, s.AppliedIndex, s.HeldDuties)
+	lastAgentReports := map[int]AgentReport{}
+	for _, report := range r.AgentReports {
+		if last := lastAgentReports[report.Agent]; last.Term != report.Term || last.IsLeader != report.IsLeader || report.AppliedIndex < last.AppliedIndex || !maps.Equal(last.HeldDuties, report.HeldDuties) {
+			add(report.AskedAt, "seen    a%d: term %d, leads %t, applied %d, holds %v", report.Agent, report.Term, report.IsLeader, report.AppliedIndex, report.HeldDuties)
 		}
-		before[s.Agent] = s
+		lastAgentReports[report.Agent] = report
 	}
-	for _, f := range r.UnexpectedExits {
-		add(f.At, "fell    a%d", f.Agent)
+	for _, exit := range r.UnexpectedExits {
+		add(exit.At, "fell    a%d", exit.Agent)
 	}
-	for _, s := range before { // what each knew last
-		add(s.AskedAt, "last    a%d: term %d, leads %t, applied %d", s.Agent, s.Term, s.IsLeader, s.AppliedIndex)
+	for _, report := range lastAgentReports {
+		add(report.AskedAt, "last    a%d: term %d, leads %t, applied %d", report.Agent, report.Term, report.IsLeader, report.AppliedIndex)
 	}
-	went := map[string]InstanceReport{}
-	for _, h := range r.InstanceReports {
-		if b, known := went[h.Instance]; !known || b.ProcessStartMicros != h.ProcessStartMicros || b.Term != h.Term || !maps.Equal(b.Orders, h.Orders) {
-			add(h.AskedAt, "goes by %s: process %d, term %d, %v", h.Instance, h.ProcessStartMicros, h.Term, h.Orders)
+	lastInstanceReports := map[string]InstanceReport{}
+	for _, report := range r.InstanceReports {
+		if last, known := lastInstanceReports[report.Instance]; !known || last.ProcessStartMicros != report.ProcessStartMicros || last.Term != report.Term || !maps.Equal(last.Orders, report.Orders) {
+			add(report.AskedAt, "goes by %s: process %d, term %d, %v", report.Instance, report.ProcessStartMicros, report.Term, report.Orders)
 		}
-		went[h.Instance] = h
+		lastInstanceReports[report.Instance] = report
 	}
 	slices.SortStableFunc(lines, func(a, b line) int { return int(a.at - b.at) })
 	var out strings.Builder
--- a/lab/chaos/spread.go
+++ b/lab/chaos/spread.go
@@ -10,68 +10,68 @@
 	"hatchproxy/agent/clusterstate"
 )
 
-// SpreadResult is how commands reach many agents, and what they cost at rest.
+// SpreadResult is what MeasureSpread measured.
 type SpreadResult struct {
-	AnswerTimes, ApplyTimes []time.Duration // from when a command was said until it was answered, and until every agent had it; sorted
-	IdleBytesPerSecond      float64         // bytes a second between machines while nothing is said
+	AnswerTimes, ApplyTimes []time.Duration // from the submission of a command until its answer, and until all agents had applied it; sorted
+	IdleBytesPerSecond      float64         // traffic between machines without commands
 }
 
-// MeasureSpread has a number of commands said, one after the other, and measures how they spread; resting is how long it then
-// watches what passes at rest.
-func (m *Cluster) MeasureSpread(ctx context.Context, commands int, resting time.Duration) (SpreadResult, error) {
-	var s SpreadResult
-	for a := range m.names {
-		if err := m.StartAgent(a); err != nil {
-			return s, err
+// MeasureSpread starts the agents, submits commands one after the other, each to the next agent, and measures how fast they reach all
+// agents. Then it measures the traffic without commands for the time of idle. It returns what was measured so far with an error.
+func (c *Cluster) MeasureSpread(ctx context.Context, commands int, idle time.Duration) (SpreadResult, error) {
+	var result SpreadResult
+	for machine := range c.names {
+		if err := c.StartAgent(machine); err != nil {
+			return result, err
 		}
 	}
-	say := func(a int, id string) (number uint64, err error) {
-		err = m.CallAgent(ctx, a, func(ctx context.Context, c *agent.Client) error {
-			number, err = c.Submit(ctx, clusterstate.Command{ID: id, Verb: clusterstate.Drain, Server: "s1"})
+	submit := func(machine int, id string) (number uint64, err error) {
+		err = c.CallAgent(ctx, machine, func(ctx context.Context, client *agent.Client) error {
+			number, err = client.Submit(ctx, clusterstate.Command{ID: id, Verb: clusterstate.Drain, Server: "s1"})
 			return err
 		})
 		return number, err
 	}
-	everywhere := func(number uint64, within time.Duration) error {
-		have := make([]bool, len(m.names))
-		return waitUntil(ctx, within, func() bool {
+	awaitApplied := func(number uint64, timeout time.Duration) error {
+		hasApplied := make([]bool, len(c.names))
+		return waitUntil(ctx, timeout, func() bool {
 			all := true
-			for a := range m.names {
-				if !have[a] {
-					err := m.CallAgent(ctx, a, func(ctx context.Context, c *agent.Client) error {
-						applied, err := c.AppliedIndex(ctx)
-						have[a] = err == nil && applied >= number
+			for machine := range c.names {
+				if !hasApplied[machine] {
+					err := c.CallAgent(ctx, machine, func(ctx context.Context, client *agent.Client) error {
+						applied, err := client.AppliedIndex(ctx)
+						hasApplied[machine] = err == nil && applied >= number
 						return err
 					})
-					all = all && err == nil && have[a]
+					all = all && err == nil && hasApplied[machine]
 				}
 			}
 			return all
 		})
 	}
 	var number uint64
-	if err := waitUntil(ctx, firstAgreementTimeout, func() (good bool) { var err error; number, err = say(0, "first"); return err == nil }); err != nil {
-		return s, fmt.Errorf("the agents never agreed on a first command: %w", err)
+	if err := waitUntil(ctx, firstAgreementTimeout, func() (ok bool) { var err error; number, err = submit(0, "first"); return err == nil }); err != nil {
+		return result, fmt.Errorf("the agents did not commit a first command: %w", err)
 	}
-	if err := everywhere(number, 3*firstAgreementTimeout); err != nil {
-		return s, fmt.Errorf("not all agents were taken in: %w", err)
+	if err := awaitApplied(number, 3*firstAgreementTimeout); err != nil {
+		return result, fmt.Errorf("not all agents applied the first command: %w", err)
 	}
 	for n := range commands {
-		began := time.Now()
-		number, err := say(n%len(m.names), fmt.Sprint("c", n))
+		startedAt := time.Now()
+		number, err := submit(n%len(c.names), fmt.Sprint("c", n))
 		if err != nil {
-			return s, err
+			return result, err
 		}
-		s.AnswerTimes = append(s.AnswerTimes, time.Since(began))
-		if err := everywhere(number, settleTimeout); err != nil {
-			return s, err
+		result.AnswerTimes = append(result.AnswerTimes, time.Since(startedAt))
+		if err := awaitApplied(number, settleTimeout); err != nil {
+			return result, err
 		}
-		s.ApplyTimes = append(s.ApplyTimes, time.Since(began))
+		result.ApplyTimes = append(result.ApplyTimes, time.Since(startedAt))
 	}
-	slices.Sort(s.AnswerTimes)
-	slices.Sort(s.ApplyTimes)
-	before, began := m.Network.CarriedBytes(), time.Now()
-	time.Sleep(resting)
-	s.IdleBytesPerSecond = float64(m.Network.CarriedBytes()-before) / time.Since(began).Seconds()
-	return s, nil
+	slices.Sort(result.AnswerTimes)
+	slices.Sort(result.ApplyTimes)
+	before, idleSince := c.Network.CarriedBytes(), time.Now()
+	time.Sleep(idle)
+	result.IdleBytesPerSecond = float64(c.Network.CarriedBytes()-before) / time.Since(idleSince).Seconds()
+	return result, nil
 }
