--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -16,13 +16,13 @@
 type Executor interface {
 	SelectInstance(InstanceID)
 	Send(logic.AttachmentID, logic.ServerID, logic.Micros) // dispatch it to a server, with a timeout
-	PushBack(logic.AttachmentID, logic.Micros)             // tell the client to retry after this time
-	GiveUp(logic.AttachmentID)                             // tell the client that it failed
+	PushBack(logic.AttachmentID, logic.Micros)             // tell the client that a retry is harmless, after this time if it is not 0
+	GiveUp(logic.AttachmentID)                             // tell the client that it failed, without inviting a retry
 	Move(logic.AttachmentID)                               // end the connection gracefully, so that the client connects anew
 	Probe(logic.ServerID)                                  // send a server a probe
 	Subscribe()                                            // subscribe to the server list
 	WakeAt(at logic.Micros)                                // call Instance.RunDue at this time
-	Log(message string)
+	Log(message string)                                    // write the message to the log
 }
 
 // Host is a set of instances that share one Executor.
@@ -77,7 +77,7 @@
 // ConnectionResumed adds an attachment whose connection was established before the instance was opened.
 func (in *Instance) ConnectionResumed(now logic.Micros, a *logic.Attachment, server logic.ServerID) {
 	in.attachments[a.ID] = a
-	in.RecordRestored(now, a, server)
+	in.RecordResumed(now, a, server)
 }
 
 // ConnectionEstablished records that the connection of an attachment is established.
@@ -125,20 +125,20 @@
 func (in *Instance) applyDecision(now logic.Micros, a *logic.Attachment, decision logic.Decision) {
 	switch decision.Action {
 	case logic.Send:
-		in.output().Send(a.ID, decision.Server, decision.Duration)
+		in.selectedExecutor().Send(a.ID, decision.Server, decision.Duration)
 	case logic.Hold:
 		heap.Push(&in.waiting, waitEntry{now + decision.Duration, a.ID})
 	case logic.PushBack:
-		in.output().PushBack(a.ID, decision.Duration)
+		in.selectedExecutor().PushBack(a.ID, decision.Duration)
 		delete(in.attachments, a.ID)
 	case logic.GiveUp:
-		in.output().GiveUp(a.ID)
+		in.selectedExecutor().GiveUp(a.ID)
 		delete(in.attachments, a.ID)
 	}
 }
 
-// output returns the executor, with this instance selected.
-func (in *Instance) output() Executor {
+// selectedExecutor returns the executor, with this instance selected.
+func (in *Instance) selectedExecutor() Executor {
 	in.executor.SelectInstance(in.id)
 	return in.executor
 }
@@ -162,13 +162,13 @@
 	}
 	if in.nextWake <= now || next < in.nextWake {
 		in.nextWake = next
-		in.output().WakeAt(next)
+		in.selectedExecutor().WakeAt(next)
 	}
 }
 
 // runJob carries out a job of the balancer.
 func (in *Instance) runJob(job logic.Job) {
-	executor := in.output()
+	executor := in.selectedExecutor()
 	switch job.Kind {
 	case logic.Subscribe:
 		executor.Subscribe()
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -19,7 +19,7 @@
 	for i := range fleet {
 		fleet[i] = newSeededHost(t, int64(i+1), proxies, servers)
 	}
-	cumulativeShares := make([]float64, groups) // cumulative
+	cumulativeShares := make([]float64, groups)
 	sum := 0.0
 	for i := range cumulativeShares {
 		sum += 1 / float64(i+1)
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,5 +1,6 @@
 // Package logic makes the load-balancing decisions of hatchproxy: which server an attachment is sent to, how long a dispatch
-// may take, when it is repeated, pushed back or given up, and which connections are moved.
+// may take, when it is repeated, pushed back or given up, and which connections are moved. An attachment is a client's
+// connection with its request, a dispatch one attempt to set it up on a server.
 //
 // A host keeps the attachments and the timers. It calls ChooseServer for a new attachment, RecordOutcome when a dispatch or
 // a connection ends, and Tick for the periodic work. The other methods report events, change settings or answer
@@ -21,7 +22,7 @@
 type Balancer struct {
 	zone                      ZoneID
 	rng                       *rand.Rand
-	products                  []Product   // append-only: an attachment keeps the row that it began with
+	products                  []Product   // rows are only ever added: an attachment keeps the row that it began with
 	activeProducts            []ProductID // rows that new attachments may use
 	listConfig                ListConfig
 	subscription              subscription
@@ -107,9 +108,9 @@
 	e.Mean += (x - e.Mean) / 8
 }
 
-// New returns a Balancer for a proxy in the given zone. proxies is the number of proxies that place on the same servers,
-// proxyIndex the index of this one among them, and seed that of its random source. The prices are fractions of an
-// attachment's gain.
+// New returns a Balancer for a proxy in the given zone. proxies is the number of proxies that place on the same servers, this
+// one included, and proxyIndex its index among them. Equal seeds give equal random decisions. products is the product table.
+// The prices are fractions of an attachment's gain.
 func New(seed int64, proxyIndex, proxies int, zone ZoneID, products []Product, weightKind WeightKind,
 	listConfig ListConfig, coldStart ColdStart, permissions Permissions, crossZonePrice, movePrice float64) *Balancer {
 	b := &Balancer{
@@ -235,7 +236,8 @@
 func (b *Balancer) ListRequestFailed(now Micros) {
 	b.subscription.requestPending, b.subscription.active = false, false
 	b.subscription.failures++
-	// 1 s, then 2 s, but at most a third of AskWithin: changes count as delivered 6 s after the service is reachable again.
+	// Waits 1 s, then 2 s, but at most a third of AskWithin. The list must have been requested by the time that changes count
+	// as delivered, which is 6 s after the service is reachable again.
 	b.subscription.nextRequestAt = b.jitteredTime(now, min(Second<<min(b.subscription.failures-1, 1), max(tickInterval, b.listConfig.AskWithin/3)))
 }
 
@@ -343,7 +345,7 @@
 	return a.server != nil && !b.subscription.outdated && b.isAllowedByList(a.server) && b.mayRunOn(now, a.server, a)
 }
 
-// isAvoided reports whether s is passed over while there is another choice. What may be sent to at all is up to mayReceive.
+// isAvoided reports whether s is passed over while there is another choice. mayReceive decides whether it may be sent to at all.
 func (s *server) isAvoided(now Micros) bool { return s.AvoidUntil > now || s.isStuck(now) }
 
 // hasSlowPath reports whether the path to the zone of s is slow or lossy.
@@ -352,9 +354,9 @@
 }
 
 // detectSlowPaths marks the paths to zones where all of three or more known servers look unhealthy, while at most half of
-// the own zone's do. It keeps a slow or lossy path from being taken for many slow servers; most of two servers as the
-// condition would mark paths that are well. The mark fades 2 s after the last sign. It does harm where a zone is slow by
-// itself and still the best choice.
+// the own zone's do. It keeps a slow or lossy path from being taken for many slow servers. A weaker condition, most of at
+// least two servers, would also mark paths that are fine. The mark fades 2 s after the last sign. It does harm where a
+// zone is slow by itself and still the best choice.
 func (b *Balancer) detectSlowPaths() {
 	if int(b.zone) >= len(b.zonePaths) {
 		return
@@ -412,7 +414,7 @@
 		if a.Returning {
 			rankUnits /= 2 // its last server was probably an early one in the ranking, and is in trouble
 		}
-		units += min(maxUnits, newGroupUnits/b.proxyCount+rankUnits*max(0, groupRank(a.Group, s.ID)/groupShare-groupHomeShare))
+		units += min(maxUnits, newGroupUnits/b.proxyCount+rankUnits*max(0, groupRank(a.Group, s.ID)/groupShare-equalRankShare))
 	}
 	if s.isLate(now) {
 		units++ // one more mean connection; none or three do worse in fleets of all sizes
@@ -437,10 +439,10 @@
 // the group's ranking. Half of it spreads groups too far; twice as much overfills their first servers.
 const groupRankUnits = 2.0
 
-// groupHomeShare is the part of a group's share of servers within which the first ones in its ranking count alike. It keeps
-// all proxies from filling the very first one, which would get several times the mean load. A larger part, as 1, puts
-// groups on half more servers.
-const groupHomeShare = 0.5
+// equalRankShare is the part of a group's share of servers within which the first ones in its ranking count alike. It keeps
+// all proxies from filling the very first one, which would get several times the mean load. With 1 instead of 0.5, groups
+// would be on half as many servers more.
+const equalRankShare = 0.5
 
 // groupRank returns the position of a server in a group's ranking of servers: a hash, evenly spread from 0 to 1.
 func groupRank(group GroupID, id ServerID) float64 {
@@ -481,7 +483,7 @@
 }
 
 // warmCapacityFactor is how much more load a warm server is assumed to bear than servers lately got on average, so that a
-// new one can be filled within its warm-up. With 0.5, all proxies together send it almost nothing; with 20, no limit breaks.
+// new one can be filled within its warm-up. With 0.5, all proxies together send it almost nothing; even 20 breaks no limit.
 const warmCapacityFactor = 4.0
 
 // mayRunOn reports whether a may run on s. Once it may have run elsewhere, only a server that knows its stamp may get it,
@@ -535,7 +537,7 @@
 	return !a.MidFlow && b.unhealthyShare > overloadThreshold && b.gainPerUnit(a, b.loadUnitsOf(a)) < bar
 }
 
-const overloadThreshold = 0.2 // more than single servers; 0.1 sheds on calm days, too
+const overloadThreshold = 0.2 // more than single servers; 0.1 would also shed while there is no overload
 
 // logConditions tells operators, in the log, when the fleet becomes overloaded or set-ups fail for a common cause, or no longer.
 func (b *Balancer) logConditions() {
@@ -582,7 +584,7 @@
 	}
 	b.meanUtilization, b.unitsPerCapacity = 0, 0
 	if trust >= 3 { // a mean of fewer says little
-		// A proxy without connections goes by reports.
+		// The minimum of 1 lets a proxy without connections go by reports alone.
 		b.meanUtilization, b.unitsPerCapacity = utilizations/trust, max(ownUnits/capacities, 1)
 	}
 	b.detectSlowPaths()
@@ -709,7 +711,7 @@
 	return b.nextTickAt - now, b.jobs
 }
 
-// decayStatistics lets old evidence fade: failures over about 3.5 s, the extra load of a start over about 9 s.
+// decayStatistics lets old evidence fade: failures to a half in about 3.5 s, the extra load of a start in about 6 s.
 func (b *Balancer) decayStatistics(now Micros) {
 	for _, s := range b.servers {
 		s.Attempts, s.Failures, s.startUnits = s.Attempts*0.95, s.Failures*0.95, s.startUnits*0.97
@@ -795,13 +797,14 @@
 	if b.permissions.PassThrough {
 		b.serverByClient[a.Key] = s.ID
 	}
-	// Two probes for each connection: one sees less, and without a bound probes cost more than they bring at low traffic.
+	// Each connection pays for two probes: one would reveal less, and without a bound, probes would cost more than they bring
+	// at low traffic.
 	b.probeCredit += 2
 	a.established, s.connections = true, append(s.connections, a)
 }
 
-// RecordRestored records a connection that was established through this proxy before the instance started.
-func (b *Balancer) RecordRestored(now Micros, a *Attachment, id ServerID) {
+// RecordResumed records a connection that was established through this proxy before the instance started.
+func (b *Balancer) RecordResumed(now Micros, a *Attachment, id ServerID) {
 	if s := b.serversByID[id]; s != nil {
 		b.assign(now, s, a)
 		b.removePending(s, a)
@@ -868,7 +871,7 @@
 	for _, s := range b.servers {
 		if b.probesForDelays() && b.probeCredit > 0 && len(s.connections) > 0 && now >= s.NextProbeAt {
 			b.probeCredit--
-			s.NextProbeAt = now + Second // half as often sees half as much, twice as often costs what it brings
+			s.NextProbeAt = now + Second // half as often reveals half as much, twice as often costs as much as it brings
 			b.jobs = append(b.jobs, Job{Kind: Probe, Server: s.ID})
 		}
 	}
@@ -897,8 +900,8 @@
 }
 
 // RecordUtilization records a server's own report of its load over its capacity. Values outside of [0, 100) are ignored. A
-// server is no longer trusted when this proxy's view contradicts it, whatever the cause: room while its messages are late,
-// none at all in use while it has own connections, or overload while all is well.
+// report that this proxy's own view contradicts ends the trust in the server, whatever the cause: free capacity while its
+// messages are late, no load at all while this proxy has connections on it, or overload while its messages are not late.
 func (b *Balancer) RecordUtilization(now Micros, id ServerID, utilization float64) {
 	s := b.serversByID[id]
 	if s == nil || !(utilization >= 0 && utilization < 100) {
@@ -911,8 +914,8 @@
 	s.utilization, s.utilizationAt, s.utilizationUnits = max(utilization, 0.01), now, s.loadUnits
 }
 
-// RecordProbe records how long a server took to answer a probe. The excess over its fastest answer and a quarter of it, which
-// allows for jitter, is scaled so that each multiple of the fastest answer counts as one quoted message time. In other
+// RecordProbe records how long a server took to answer a probe. What exceeds 1.25 times its fastest answer (the quarter allows
+// for jitter) counts as a message delay: as one quoted message time for each multiple of the fastest answer. In other
 // zones, and where a server seems to have paused, the faster one of its last two answers counts.
 func (b *Balancer) RecordProbe(now Micros, id ServerID, duration Micros) {
 	if s := b.serversByID[id]; s != nil && duration > 0 && b.probesForDelays() {
@@ -928,7 +931,7 @@
 
 const pauseFactor = 8 // times the fastest answer: full servers take four or five, paused ones ten and more
 
-const minSpeedFactor = 0.1 // the slowest that operators have seen a server become
+const minSpeedFactor = 0.1 // servers in production have slowed down to a tenth of their speed, but not further
 
 // shortestMessageTime returns the shortest quoted message time of the active products, or math.MaxInt64 if none has one.
 func (b *Balancer) shortestMessageTime() Micros {
@@ -975,7 +978,7 @@
 // ---- failures
 
 // downAfterFailures is the number of consecutive failed set-ups after which a server counts as down; a set-up that succeeds
-// then finds it cold. It keeps all proxies from filling a server that has just come back, even if the list does not show it.
+// then finds it cold. This keeps all proxies from filling a server that has just come back, even if the list does not show it.
 const downAfterFailures = 2
 
 // recordFailure counts a failure, and avoids a server for a while if its share of failures is far above the median.
@@ -985,12 +988,12 @@
 		b.failingServers = append(b.failingServers, s.ID)
 	}
 	if outcome == Reset || outcome == Full {
-		// Prevents a retry storm: clients that a full server drops come back at once. In a second it finishes some work.
+		// Prevents a retry storm: clients that a full server drops come back at once. Within a second it gets some work done.
 		s.AvoidUntil = max(s.AvoidUntil, b.jitteredTime(now, Second))
 	}
 	// One failure in two attempts is out of line where half of the fleet has none.
 	if s.failureShare() > b.medianFailureShare()+0.3 {
-		s.AvoidUntil = b.jitteredTime(now, 2*Second) // constant, as doubling it each time makes no difference
+		s.AvoidUntil = b.jitteredTime(now, 2*Second) // not longer each time, as doubling it makes no difference
 	}
 }
 
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -162,9 +162,9 @@
 	on := h.establishMany(40)
 	h.reportDelays(500*ms, 6, 1)
 	require.Positive(t, h.countJobs(logic.Move))
-	for _, e := range h.jobs {
-		if e.Kind == logic.Move {
-			require.Contains(t, attachmentIDs(on[1]), e.Attachment)
+	for _, job := range h.jobs {
+		if job.Kind == logic.Move {
+			require.Contains(t, attachmentIDs(on[1]), job.Attachment)
 		}
 	}
 	require.Empty(t, h.establishMany(8)[1])
@@ -323,7 +323,7 @@
 	require.Less(t, sent, 6)
 }
 
-// A zone came back and stayed empty: a proxy that lost the first draw could send nothing until its servers were warm.
+// A zone that came back stayed empty: a proxy that lost the first draw could send nothing there until the servers were warm.
 func TestTheColdBudgetIsDrawnAnewInEachWindow(t *testing.T) {
 	var sent [3]int
 	for seed := range int64(400) {
@@ -414,12 +414,12 @@
 	h.UpdateServer(h.now, 3, 1, 0, 3, logic.Ready, 1, 0)
 	h.EndList(h.now, false)
 	for range 5 {
-		h.RecordRestored(h.now, h.newAttachment(0), 3)
+		h.RecordResumed(h.now, h.newAttachment(0), 3)
 	}
 	h.establishMany(4)
 	h.reportDelays(200*ms, 4, 1, 2)
-	for _, e := range h.jobs {
-		require.False(t, e.Kind == logic.Move && e.Attachment <= 5, "the own zone is unhealthy")
+	for _, job := range h.jobs {
+		require.False(t, job.Kind == logic.Move && job.Attachment <= 5, "the own zone is unhealthy")
 	}
 	h.jobs = nil
 	h.advance(120 * sec)
@@ -484,7 +484,7 @@
 		h.updateServer(id, logic.Ready, 0)
 	}
 	open := h.newAttachment(0)
-	h.RecordRestored(h.now, open, 3)
+	h.RecordResumed(h.now, open, 3)
 	h.RecordOutcome(h.now, open, logic.Cancelled, true)
 	later := h.newAttachment(0)
 	later.Key, later.MidFlow = open.Key, true
@@ -566,7 +566,7 @@
 		}
 		h.jobs = nil
 		h.advance(4 * sec)
-		moved := slices.ContainsFunc(h.jobs, func(e logic.Job) bool { return e.Attachment == on[1][0].ID })
+		moved := slices.ContainsFunc(h.jobs, func(job logic.Job) bool { return job.Attachment == on[1][0].ID })
 		require.Equal(t, !goneMayBeUp, moved, "connections stay on a gone server if it may be up")
 		h.updateServer(2, logic.Gone, 0) // it was draining before, so it may not be used
 		h.updateServer(3, logic.Draining, 0)
@@ -723,9 +723,9 @@
 	for range 8 {
 		h.jobs = nil
 		h.advance(250 * ms)
-		for _, e := range h.jobs {
-			if e.Kind == logic.Move {
-				moved[e.Attachment] = true
+		for _, job := range h.jobs {
+			if job.Kind == logic.Move {
+				moved[job.Attachment] = true
 			}
 		}
 		for _, a := range on[1] {
@@ -755,13 +755,13 @@
 		}
 		h.jobs = nil
 		h.advance(sec)
-		for _, e := range h.jobs {
-			switch e.Kind {
+		for _, job := range h.jobs {
+			switch job.Kind {
 			case logic.Probe:
 				probes++
-				h.RecordProbe(h.now, e.Server, answerTime[e.Server])
+				h.RecordProbe(h.now, job.Server, answerTime[job.Server])
 			case logic.Move:
-				require.True(t, slices.ContainsFunc(on[1], func(a *logic.Attachment) bool { return a.ID == e.Attachment }),
+				require.True(t, slices.ContainsFunc(on[1], func(a *logic.Attachment) bool { return a.ID == job.Attachment }),
 					"only connections of the server whose answers have become slower")
 			}
 		}
@@ -916,9 +916,9 @@
 		h.jobs = nil
 		h.advance(10 * sec)
 		n := map[logic.ServerID]int{}
-		for _, e := range h.jobs {
-			if e.Kind == logic.Probe {
-				n[e.Server]++
+		for _, job := range h.jobs {
+			if job.Kind == logic.Probe {
+				n[job.Server]++
 			}
 		}
 		return n
@@ -936,7 +936,7 @@
 	probed := func() bool {
 		h.jobs = nil
 		h.advance(2 * sec)
-		return slices.ContainsFunc(h.jobs, func(e logic.Job) bool { return e.Kind == logic.Probe })
+		return slices.ContainsFunc(h.jobs, func(job logic.Job) bool { return job.Kind == logic.Probe })
 	}
 	require.True(t, probed())
 	h.SetDelaysReported(true)
--- a/logic/types.go
+++ b/logic/types.go
@@ -9,11 +9,12 @@
 	Second      Micros = 1000 * Millisecond
 )
 
+// Identifiers that the host passes in.
 type (
-	AttachmentID uint64
+	AttachmentID uint64 // a client's connection
 	ServerID     uint64
 	ProductID    uint16 // a row of the product table
-	ZoneID       uint16
+	ZoneID       uint16 // a zone of servers and proxies: sending from one to another has a price
 	ModelID      uint16 // a model of servers; those of one model are similarly fast
 	CellID       uint16 // a set of servers that may share stamps, see DedupCell
 	GroupID      uint64 // clients that are best served together; 0 for none
@@ -81,8 +82,8 @@
 
 // ListConfig says how the server list is followed.
 type ListConfig struct {
-	Subscribe   bool
-	AskWithin   Micros // the list must be asked for within this; a proxy that hears nothing for so long counts as informed
+	Subscribe   bool   // Tick asks the host to request a subscription to the list, and again after a failure
+	AskWithin   Micros // the list must be requested within this; a change of it counts as delivered after this, received or not
 	GoneMayBeUp bool   // only draining is binding: a server that is listed as gone, or missing, may still be up
 }
 
@@ -98,12 +99,12 @@
 	MaxDispatches int    // for an attachment, where its product sets no other limit
 	MaxRetryAfter Micros // longest time for which a push back may ask the client to stay away
 	PassThrough   bool   // packets pass through unchanged: connections outlive their proxy
-	AllowProbes   bool   // servers may be probed; they are while nothing else reports late messages
+	AllowProbes   bool   // servers may be probed for message delays, which is done while nothing else reports them
 }
 
-// Snapshot is what an instance has learned, for the one that replaces it on the same clock. It is encoded as JSON and may
-// be read by a process of another version, so the outer names of its fields are fixed. Balancer has fields of the same
-// names, where they are explained.
+// Snapshot is what an instance has learned, for the one that replaces it; both must use the same clock. It is encoded as
+// JSON and may be read by a process of another version, so the names in the tags are fixed. Balancer has fields of the
+// same Go names, where they are explained.
 type Snapshot struct {
 	Servers         []ServerHistory
 	SetupTime       Estimate   `json:"Setup"`
@@ -136,7 +137,7 @@
 	NextProbeAt    Micros    `json:"ProbeAt"`
 	FastestProbe   Micros    `json:"Quick"`     // shortest time in which it answered a probe; 0 before the first answer
 	LastProbe      Micros    `json:"Probed"`    // time that its last answer to a probe took
-	ColdDraw       float64   `json:"Chance"`    // random number that settles fractions of a connection in the cold budget
+	ColdDraw       float64   `json:"Chance"`    // random number that decides whether a fraction of a connection left in the cold budget admits a whole one
 	ColdDrawAt     Micros    `json:"Drawn"`     // when it was last drawn for a new window
 	ColdSendTimes  []Micros  `json:"SentAt"`    // dispatches to it while it is cold
 	ColdSendUnits  []float64 `json:"SentUnits"` // their load units
