--- a/lease/explore_test.go
+++ b/lease/explore_test.go
@@ -13,7 +13,13 @@
 	"hatchproxy/logic"
 )
 
-// omission names the safeguards that a run of the model leaves out, those set to true, to prove that their absence is detected.
+// omission says which safeguards a run of the model leaves out (those that are true), to prove that their absence is detected:
+//   - leaderCheck: a request is answered only after it was verified that the agent still leads
+//   - initialWait: a new leader takes leases that it does not know for leases that have just begun
+//   - termCheck: a grant that was proposed in an earlier term is not committed
+//   - fencing: an effect with another token than that of the current grant is refused
+//   - sendTime: a lease counts from when the request was sent, not from when the response arrived
+//   - driftBound: clocks drift no further than the lease durations allow for
 type omission struct{ leaderCheck, initialWait, termCheck, fencing, sendTime, driftBound bool }
 
 // modelState is one state of a small model: two agents that may lead, two holders and one duty. Times are real time; each clock
@@ -28,7 +34,7 @@
 	holders      [2]Holder
 	message      *message  // delayed in transit
 	inFlight     [2]uint64 // by holder: the token of an effect that is delayed between its check and its execution; 0 for none
-	highestToken uint64
+	highestToken uint64    // of the effects so far
 }
 
 // agent is an agent of the model that may lead.
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,7 +1,7 @@
-// Package lease decides which agent holds a duty, of which there is at most one holder at a time. It does no I/O, and its callers
-// pass in the time; docs/duties.md lists the guarantees. Grants are entries in the agents' replicated log, each with a fencing token
-// that only increases. The time for which a holder may act on its grant is not in the log: the leading agent leases it for a few
-// seconds at a time and keeps these leases in memory only.
+// Package lease decides which agent holds each duty. A duty is a task that at most one agent may act on at a time. The package does
+// no I/O, and its callers pass in the time; docs/duties.md lists the guarantees. Grants are entries in the agents' replicated log,
+// each with a fencing token that only increases. The time for which a holder may act on its grant is not in the log: the leading
+// agent leases it for a few seconds at a time and keeps these leases in memory only.
 package lease
 
 import (
@@ -30,8 +30,8 @@
 
 // Grant records who holds a duty, as it is in the log.
 type Grant struct {
-	Holder     string `json:"holder"` // "" if the duty has never been held
-	Token      uint64 `json:"token"`
+	Holder     string `json:"holder"`       // "" if the duty has never been held
+	Token      uint64 `json:"token"`        // the fencing token; in the result of DueGrants, the one that the grant replaces
 	TransferTo string `json:"to,omitempty"` // the duty is to be handed over: to this candidate, or to any other one if "*"
 	// GrantedAt is the time of the grant by the grantor's clock; Reason tells why the duty changed hands.
 	GrantedAt logic.Micros `json:"since"`
@@ -80,7 +80,8 @@
 
 // Renew handles a request: it takes back the released duties and renews the leases that the sender still holds. The caller must
 // have verified, after the request arrived, that this agent is still the leader: otherwise an agent that was replaced while it was
-// suspended would renew a lease that its successor has granted to another.
+// suspended would renew a lease that its successor has granted to another. held has the current grants by duty; barred agents get
+// no leases.
 func (g *Grantor) Renew(now logic.Micros, req Request, held map[string]Grant, barred map[string]bool) Tokens {
 	tokens := Tokens{}
 	if len(g.candidates) == 0 {
@@ -104,11 +105,11 @@
 }
 
 // DueGrants returns, by duty, the grants that are to be committed to the log now, with the tokens that they replace. Each of them is
-// in progress until FinishGrant is called for its duty.
+// in progress until FinishGrant is called for its duty. held has the current grants by duty; barred agents are granted nothing.
 func (g *Grantor) DueGrants(now logic.Micros, held map[string]Grant, barred map[string]bool) map[string]Grant {
 	due := map[string]Grant{}
 	if len(g.candidates) == 0 || now-g.firstRequest < RenewInterval {
-		return due // otherwise all duties would go to the first candidate that sends a request
+		return due // waits for requests of other candidates: the first one would get all duties
 	}
 	dutyCount := map[string]int{}
 	for _, grant := range held {
@@ -201,9 +202,9 @@
 
 // Holder keeps the leases of one candidate. The zero value holds nothing.
 type Holder struct {
-	tokens    map[string]uint64
-	expiresAt map[string]logic.Micros
-	lastSent  logic.Micros // when the request was sent whose response was applied last
+	tokens    map[string]uint64       // by duty
+	expiresAt map[string]logic.Micros // by duty: when its lease ends, by the holder's own clock
+	lastSent  logic.Micros            // when the request was sent whose response was applied last
 }
 
 // Update applies the response to a request; sent is the time of the request by the holder's own clock. A response to an older request
@@ -218,7 +219,7 @@
 	}
 }
 
-// Release stops holding a duty at once and returns its token, or 0 if it was not held.
+// Release stops holding a duty at once, for example because it is to be handed over. It returns its token, or 0 if it was not held.
 func (h *Holder) Release(now logic.Micros, duty string) uint64 {
 	token, _ := h.Holds(now, duty)
 	delete(h.tokens, duty)
--- a/limits/gate.go
+++ b/limits/gate.go
@@ -13,7 +13,7 @@
 	SetupRate      Rate         // 0 per second: no limit
 	MaxConnections int          // 0: no limit; shared max-min fairly between tenants
 	AddressRate    Rate         // of one address; 0 per second: no limit
-	RetryShare     float64      // 0: no limit
+	RetryShare     float64      // retries per first try; 0: no limit
 	MaxWait        logic.Micros // the longest time after which a client is told to come back
 
 	setups        Bucket
@@ -52,8 +52,8 @@
 }
 
 // Admit returns Admitted, or the limit that refuses the connection and how long the client is to wait before it tries
-// again. A refused connection uses no permit of a rate and no tenant's place; the retry budget may have counted it. An
-// admitted one must be given back with Release.
+// again. retry says that the client has tried before. A refused connection uses no permit of a rate and no tenant's place;
+// the retry budget may have counted it. An admitted one must be given back with Release.
 func (l *Limiter) Admit(now logic.Micros, tenant, address uint64, retry bool) (Reason, logic.Micros) {
 	var bucket *Bucket
 	if l.AddressRate.PerSecond > 0 {
@@ -105,10 +105,11 @@
 // Refused returns the number of refusals since the start, by reason.
 func (l *Limiter) Refused() map[Reason]uint64 { return l.refused }
 
-// retriesPerSecond returns how many of the refused clients are told to come back per second.
+// retriesPerSecond returns how many of the refused clients are told to come back per second: half of the setup rate, or 100
+// if none is set.
 func (l *Limiter) retriesPerSecond() float64 {
 	if l.SetupRate.PerSecond > 0 {
-		return l.SetupRate.PerSecond / 2 // the other half is left to first tries
+		return l.SetupRate.PerSecond / 2 // leaves the other half to first tries
 	}
 	return 100
 }
@@ -116,8 +117,8 @@
 // bucketCache keeps buckets by key and evicts the least recently used one when it is full.
 type bucketCache struct {
 	capacity int
-	byKey    map[uint64]*list.Element
-	recency  *list.List
+	byKey    map[uint64]*list.Element // the elements of recency
+	recency  *list.List               // of *cachedBucket, the most recently used one first
 }
 
 // cachedBucket is a bucket of a bucketCache with its key.
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -37,7 +37,7 @@
 	return false, logic.Micros(math.Ceil((1 - b.permits) / r.PerSecond * 1e6))
 }
 
-// forever is the wait for a permit of a rate of 0.
+// forever is the wait for a permit of a rate of 0. It may be added to a time without an overflow.
 const forever = logic.Micros(math.MaxInt64 / 4)
 
 // refill adds the permits of the time since the last call. A clock that jumps back adds and removes none; one that jumps
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -19,7 +19,7 @@
 )
 
 // Order is an operator's order on one server. Orders are sequenced by the term of their author and by their number: a number
-// belongs to one order, and a higher number is newer; the author of a higher term has replaced those of all lower ones.
+// belongs to one order, and a higher number is newer; an author with a higher term has replaced those of all lower ones.
 type Order struct {
 	ID          string         `json:"id"`
 	Term        uint64         `json:"term"`
@@ -62,7 +62,7 @@
 	listed     bool         // named by the current list, or so far by the full list in progress
 	everListed bool         // named by some list
 	listState  logic.State  // according to the list
-	startedAt  logic.Micros // start time of its process, according to the list
+	launchedAt logic.Micros // start time of its process, according to the list
 	order      *Order       // the newest order on it; nil if there is none
 	receivedAt logic.Micros // when order was first received
 	drained    bool         // order drains it, and its expiry has not been reported by Expire
@@ -115,9 +115,9 @@
 }
 
 // UpdateServer sets the state and the process start time of a server from the list, and returns its effective state.
-func (r *Registry) UpdateServer(now logic.Micros, id logic.ServerID, state logic.State, startedAt logic.Micros) logic.State {
+func (r *Registry) UpdateServer(now logic.Micros, id logic.ServerID, state logic.State, launchedAt logic.Micros) logic.State {
 	s := r.entry(id)
-	s.listed, s.everListed, s.listState, s.startedAt = true, true, state, startedAt
+	s.listed, s.everListed, s.listState, s.launchedAt = true, true, state, launchedAt
 	return s.effectiveState(now)
 }
 
@@ -133,7 +133,7 @@
 // orderInForce reports whether the newest order still applies: it has not expired, and it is not for an earlier process.
 func (s *serverEntry) orderInForce(now logic.Micros) bool {
 	o := s.order
-	return o != nil && (o.ExpiresAt == 0 || now < o.ExpiresAt) && (o.ServerStart == 0 || !s.everListed || o.ServerStart == s.startedAt)
+	return o != nil && (o.ExpiresAt == 0 || now < o.ExpiresAt) && (o.ServerStart == 0 || !s.everListed || o.ServerStart == s.launchedAt)
 }
 
 // Apply applies an order. It reports whether the effective state of the server has changed, so that the balancer must be
@@ -209,7 +209,8 @@
 	return s.effectiveState(now), s.effectiveState(now) != s.listState
 }
 
-// Orders returns the newest order on each server, sorted by number.
+// Orders returns the newest order on each server, sorted by number. An instance keeps to these orders, even while no author
+// of orders can reach it.
 func (r *Registry) Orders() []Order {
 	var newest []Order
 	for _, s := range r.servers {
