--- a/logic/logic.go
+++ b/logic/logic.go
@@ -38,22 +38,22 @@
 	pendingDispatches, readyServers   int                    // dispatches without an outcome; servers in state Ready
 	meanWeight                        float64                // of the ready servers
 	setupTime, connectionLoad         estimator              // microseconds; microseconds of work per second
-	unhealthyShare                    float64                // decaying maximum share of known servers that are late or failing
+	unhealthyShare                    float64                // decaying maximum share of known servers that are late or avoided
 	ownZoneTrouble                    float64                // the same for the own zone, 1 from a quarter on; decays more slowly
 	zonePaths                         []zonePath             // by ZoneID
 	meanGainPerUnit                   float64                // mean gain of a load unit on established connections
-	loggedConditions                  [2]bool                // the conditions that were last logged
+	loggedConditions                  [2]bool                // as last logged by logConditions
 	placementRate, placedUnits        float64                // load units set up per second and ready server, smoothed; since the last tick
-	serverByClient                    map[ClientKey]ServerID // filled in pass-through mode only
+	serverByClient                    map[ClientKey]ServerID // where clients' connections are open; filled in pass-through mode only
 	ownConnections                    int                    // attachments on servers, pending ones included
 	groupMembers                      map[GroupID]int        // those of each group
 	models                            map[ModelID]*modelStats
 	clientLoads                       map[ClientKey]float64 // last reported loads, for clients that come back
 	lastEstablished, nextTickAt       Micros                // time of the last successful set-up; of the next periodic work
-	failingServers                    []ServerID            // servers where set-ups failed; each successful set-up removes one
+	failingServers                    []ServerID            // servers where set-ups failed lately; each successful set-up anywhere removes one
 	failureShares                     []float64             // buffer of medianFailureShare
 	jobs                              []Job                 // buffer of Tick
-	probesUtilization, delaysReported bool                  // answers to probes carry utilization; servers report delays
+	probesUtilization, delaysReported bool                  // servers are probed for their utilization; they report delays
 	meanUtilization, unitsPerCapacity float64               // means over fresh reports, the latter of own units; 0 if reports are few
 	lastProbedIndex, probeCredit      int                   // last server probed for utilization; probes that connections have paid for
 }
@@ -68,7 +68,7 @@
 // subscription is the state of the requests for the server list.
 type subscription struct {
 	readingFullList, requestPending, active bool // between BeginFullList and EndList; not yet answered; established
-	outdated                                bool // changes that were not received already count as delivered
+	outdated                                bool // too old to send by: changes that were not received count as delivered
 	nextRequestAt                           Micros
 	failures                                int // failed requests since the last answer
 }
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -18,11 +18,12 @@
 	Undrain Verb = "undrain" // ends a drain: the state of the list applies again
 )
 
-// Order is an operator's order on one server. Orders are sequenced by the term of their author and by their number: a number
-// belongs to one order, and a higher number is newer; an author with a higher term has replaced those of all lower ones.
+// Order is an operator's order on one server. Its author is the agent that sends it. Orders are sequenced by the term of
+// their author and by their number: a number belongs to one order, and a higher number is newer; an author with a higher
+// term has replaced those of all lower ones.
 type Order struct {
 	ID          string         `json:"id"`
-	Term        uint64         `json:"term"`
+	Term        uint64         `json:"term"` // of the author
 	Number      uint64         `json:"number"`
 	Verb        Verb           `json:"verb"`
 	ServerUID   string         `json:"server"`           // as in the server list
