--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -121,7 +121,7 @@
 // dialAndRegister dials a server and registers the connection with the event loop; side becomes its context there.
 // While this machine is short of sockets or the loop's poller rejects connections, it retries until ctx ends: such
 // errors say nothing about the server and must not use up an attempt.
-func (p *Proxy) dialAndRegister(ctx context.Context, side any, endpoint string) error {
+func (p *Proxy) dialAndRegister(ctx context.Context, owner any, endpoint string) error {
 	backoff := transient.Backoff{Initial: time.Millisecond, Max: 50 * time.Millisecond}
 	unreachable := 0
 	isRetryable := func(err error) bool {
@@ -143,7 +143,7 @@
 		if err != nil {
 			return err
 		}
-		return p.register(side, conn)
+		return p.register(owner, conn)
 	})
 }
 
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -34,7 +34,7 @@
 	admitted        bool           // the limiter counts it and must be told when it ends
 	unansweredAt    []logic.Micros // arrival times of its messages that the server has not answered yet
 	connectedAt     logic.Micros   // when it was accepted, also if a predecessor process did so
-	inheritedSocket *os.File       // its socket from a predecessor process, until the event loop has it
+	takenOverSocket *os.File       // its socket from a predecessor process, until the event loop has it
 	pendingInput    []byte         // bytes from its server or from itself that came before the event loop had its socket
 
 	reports loadreports.Conn // its reported loads
--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -147,8 +147,8 @@
 	}
 	if p.limiter != nil {
 		st.RefusedByLimit = map[string]uint64{}
-		for why, n := range p.limiter.Refused() {
-			st.RefusedByLimit[string(why)] = n
+		for reason, n := range p.limiter.Refused() {
+			st.RefusedByLimit[string(reason)] = n
 		}
 	}
 	for _, o := range p.orders.Orders() {
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -203,7 +203,7 @@
 		}
 		switch p.mode {
 		case evacuating:
-			p.tellSuccessor(packet{Evacuating: true})
+			p.notifySuccessor(packet{Evacuating: true})
 		case leaving:
 			// The signal to leave may arrive before the successor is ready; the clients are still handed over instead of moved.
 			_, moveSpan := p.leaveSpans()
@@ -212,9 +212,9 @@
 	}
 }
 
-// tellSuccessor passes an evacuation or its end on to a successor: the two processes are one proxy, and until SIGTERM
+// notifySuccessor passes an evacuation or its end on to a successor: the two processes are one proxy, and until SIGTERM
 // operators may call either of them.
-func (p *Proxy) tellSuccessor(message packet) {
+func (p *Proxy) notifySuccessor(message packet) {
 	if p.hasSuccessor() {
 		p.sendPacket(p.handover.successor, message)
 	}
@@ -386,26 +386,26 @@
 }
 
 // registerInBackground registers a connection that was taken over with the event loop. If that fails, the connection is
-// closed after rejectLine, which is nil for a server's. The file is closed in any case.
-func (p *Proxy) registerInBackground(side any, file *os.File, rejectLine []byte) {
+// closed after finalLine, which is nil for a server's. The file is closed in any case.
+func (p *Proxy) registerInBackground(owner any, file *os.File, finalLine []byte) {
 	go func() {
-		if p.registerFile(side, file) == nil {
+		if p.registerFile(owner, file) == nil {
 			_ = file.Close()
 			return
 		}
-		if err := p.registerWithRetry(side, file, rejectLine); err != nil && p.ctx.Err() == nil {
-			p.post(func() { p.registrationFailed(side) })
+		if err := p.registerWithRetry(owner, file, finalLine); err != nil && p.ctx.Err() == nil {
+			p.post(func() { p.registrationFailed(owner) })
 		}
 	}()
 }
 
 // registrationFailed ends the other side of a connection that could not be registered with the event loop.
-func (p *Proxy) registrationFailed(side any) {
-	switch side := side.(type) {
+func (p *Proxy) registrationFailed(owner any) {
+	switch owner := owner.(type) {
 	case *client:
-		p.clientClosed(side, false)
+		p.clientClosed(owner, false)
 	case *attempt:
-		p.serverClosed(side, false)
+		p.serverClosed(owner, false)
 	}
 }
 
@@ -413,13 +413,13 @@
 // that the client's bytes have somewhere to go.
 func (p *Proxy) serverResumed(c *client, conn gnet.Conn) gnet.Action {
 	if c.request.HasEnded() {
-		_ = c.inheritedSocket.Close()
+		_ = c.takenOverSocket.Close()
 		return gnet.Close
 	}
 	p.openSockets++
 	c.attempt.conn = conn
-	p.registerInBackground(c, c.inheritedSocket, protocol.MoveLine)
-	c.inheritedSocket = nil
+	p.registerInBackground(c, c.takenOverSocket, protocol.MoveLine)
+	c.takenOverSocket = nil
 	return gnet.None
 }
 
@@ -428,13 +428,13 @@
 	server := p.servers[discovery.ServerID(info.Server)]
 	if server == nil || p.openIDs[info.ID] {
 		// The server is not on this process's list, or the id is in use: the client is told to connect again.
-		rejectFile(clientFile, protocol.MoveLine)
+		sendFinalLine(clientFile, protocol.MoveLine)
 		_ = clientFile.Close()
 		_ = serverFile.Close()
 		return
 	}
 	now := p.now()
-	c := &client{class: info.Class, unansweredAt: info.UnansweredAt, connectedAt: now, inheritedSocket: clientFile}
+	c := &client{class: info.Class, unansweredAt: info.UnansweredAt, connectedAt: now, takenOverSocket: clientFile}
 	c.request.Resume()
 	c.parser.ID, c.parser.Key, c.parser.Group, c.parser.Product = info.ID, info.Key, info.Group, info.Class
 	c.reports = loadreports.Conn{EstablishedAt: info.EstablishedAt, Load: info.Load}
--- a/internal/proxy/leave.go
+++ b/internal/proxy/leave.go
@@ -91,7 +91,7 @@
 		return
 	}
 	generation, now := p.setMode(evacuating), p.now()
-	p.tellSuccessor(packet{Evacuating: true})
+	p.notifySuccessor(packet{Evacuating: true})
 	p.log.Info("evacuating", "attachments", len(p.clients))
 	p.scheduleAfter(evacuationDelay, func() { p.moveClients(generation, now+evacuationMovesEnd) })
 	p.scheduleAfter(evacuationMovesEnd, func() { p.refuseRequests = p.refuseRequests || p.modeGeneration == generation })
@@ -106,7 +106,7 @@
 func (p *Proxy) rejoin() {
 	if p.mode == evacuating {
 		p.setMode(serving)
-		p.tellSuccessor(packet{Rejoined: true})
+		p.notifySuccessor(packet{Rejoined: true})
 		p.log.Info("serving again after evacuation", "attachments", len(p.clients))
 	}
 }
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -121,8 +121,8 @@
 func (p *Proxy) createAcceptor(l *net.TCPListener) error {
 	ctx, cancel := context.WithTimeout(p.ctx, loopStartTimeout)
 	defer cancel()
-	wait := transient.Backoff{Initial: 2 * time.Millisecond, Max: 100 * time.Millisecond}
-	return transient.Retry(ctx, wait, transient.IsResourceShortage, func() error {
+	backoff := transient.Backoff{Initial: 2 * time.Millisecond, Max: 100 * time.Millisecond}
+	return transient.Retry(ctx, backoff, transient.IsResourceShortage, func() error {
 		files, err := listen.NewFileListener(l, p.log)
 		if err == nil {
 			p.acceptor = newAcceptor(files, p.acceptClient)
@@ -140,8 +140,8 @@
 func (p *Proxy) startLoop() (loop *gnet.Client, err error) {
 	ctx, cancel := context.WithTimeout(p.ctx, loopStartTimeout)
 	defer cancel()
-	wait := transient.Backoff{Initial: 2 * time.Millisecond, Max: 100 * time.Millisecond}
-	err = transient.Retry(ctx, wait, transient.IsResourceShortage, func() error {
+	backoff := transient.Backoff{Initial: 2 * time.Millisecond, Max: 100 * time.Millisecond}
+	err = transient.Retry(ctx, backoff, transient.IsResourceShortage, func() error {
 		loop, err = gnet.NewClient(p, gnet.WithNumEventLoop(1), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
 			gnet.WithReadBufferCap(readBufferSize), gnet.WithWriteBufferCap(writeBufferSize), gnet.WithLogger(gnetLogger{p.log}))
 		if err != nil {
@@ -153,7 +153,7 @@
 		return nil, err
 	}
 	isRetryable := func(err error) bool { return transient.IsResourceShortage(err) || errors.Is(err, errNotRegistered) }
-	if err := transient.Retry(ctx, wait, isRetryable, func() error { return p.openLoopConn(loop) }); err != nil {
+	if err := transient.Retry(ctx, backoff, isRetryable, func() error { return p.openLoopConn(loop) }); err != nil {
 		stopLoop(loop)
 		return nil, err
 	}
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -65,8 +65,8 @@
 
 // probeDataReceived reports the duration of a probe once it is answered, and closes the connection if the server
 // refuses it.
-func (p *Proxy) probeDataReceived(pr *probe, b []byte) {
-	switch pr.parser.Feed(b) {
+func (p *Proxy) probeDataReceived(pr *probe, data []byte) {
+	switch pr.parser.Feed(data) {
 	case protocol.ProbeAnswered:
 		if pr.pending {
 			pr.pending = false
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -204,20 +204,20 @@
 // OnOpen handles a connection that the loop has registered: a client's, one to a server, or the loop's own.
 func (p *Proxy) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	if r, ok := c.Context().(*registration); ok {
-		c.SetContext(r.side)
+		c.SetContext(r.owner)
 		r.opened.Store(true)
 	}
 	defer p.afterEvent()
-	switch side := c.Context().(type) {
+	switch owner := c.Context().(type) {
 	case *loopConn:
 		p.onLoopStarted(c.EventLoop())
 	case *client:
 		p.openSockets++
-		return nil, p.clientOpened(side, c)
+		return nil, p.clientOpened(owner, c)
 	case *attempt:
-		return nil, p.serverConnected(side, c)
+		return nil, p.serverConnected(owner, c)
 	case *probe:
-		p.probeConnected(side, c)
+		p.probeConnected(owner, c)
 	}
 	return nil, gnet.None
 }
@@ -228,13 +228,13 @@
 	if err != nil {
 		return gnet.None
 	}
-	switch side := c.Context().(type) {
+	switch owner := c.Context().(type) {
 	case *client:
-		p.clientDataReceived(side, b)
+		p.clientDataReceived(owner, b)
 	case *attempt:
-		p.serverDataReceived(side, b)
+		p.serverDataReceived(owner, b)
 	case *probe:
-		p.probeDataReceived(side, b)
+		p.probeDataReceived(owner, b)
 	}
 	p.afterEvent()
 	return gnet.None
@@ -242,20 +242,20 @@
 
 // OnClose handles the end of a connection and closes the opposite one.
 func (p *Proxy) OnClose(c gnet.Conn, err error) gnet.Action {
-	if err == nil && !isOver(c.Context()) {
+	if err == nil && !isFinished(c.Context()) {
 		p.onLoopFailure()
 	}
-	switch side := c.Context().(type) {
+	switch owner := c.Context().(type) {
 	case *client:
 		p.openSockets--
-		side.leaveQueue()
-		p.clientClosed(side, isReset(err))
+		owner.leaveQueue()
+		p.clientClosed(owner, isReset(err))
 	case *attempt:
 		p.openSockets--
-		p.serverClosed(side, isReset(err))
+		p.serverClosed(owner, isReset(err))
 	case *probe:
 		p.openSockets--
-		p.probeClosed(side)
+		p.probeClosed(owner)
 	default:
 		return gnet.None
 	}
@@ -263,14 +263,14 @@
 	return gnet.None
 }
 
-// isOver reports whether the owner of a connection is finished with it. The proxy closes connections itself only in
+// isFinished reports whether the owner of a connection is finished with it. The proxy closes connections itself only in
 // this case, so any other local close means that the event loop is ending.
-func isOver(side any) bool {
-	switch side := side.(type) {
+func isFinished(owner any) bool {
+	switch owner := owner.(type) {
 	case *client:
-		return side.request.HasEnded()
+		return owner.request.HasEnded()
 	case *attempt:
-		return side.finished
+		return owner.finished
 	case *loopConn:
 		return false
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -211,7 +211,7 @@
 
 func TestARequestIsRepeatedOnlyIfTheAnswerProvesItNeverRan(t *testing.T) {
 	for answer, want := range map[string]struct {
-		said  string
+		line  string
 		tries int
 	}{
 		"BUSY":      {"BUSY", 3}, // has not run
@@ -227,7 +227,7 @@
 			s, servers := startProxy(t, 1024, answer)
 			start := time.Now()
 			c := s.openRequest("c=pay,d=700")
-			c.expectLine(want.said)
+			c.expectLine(want.line)
 			c.expectEnd(false)
 			require.Less(t, time.Since(start), 720*time.Millisecond, "before the client gives up")
 			require.Len(t, servers[0].FirstLines(), want.tries)
--- a/internal/proxy/register.go
+++ b/internal/proxy/register.go
@@ -25,14 +25,14 @@
 
 // registration is the context of a connection until the event loop has opened it.
 type registration struct {
-	side   any
+	owner  any
 	opened atomic.Bool
 }
 
 // register hands a connection to the event loop and waits until the loop has opened it. The connection belongs to the
 // loop in any case: it is closed on failure.
-func (p *Proxy) register(side any, conn net.Conn) error {
-	r := &registration{side: side}
+func (p *Proxy) register(owner any, conn net.Conn) error {
+	r := &registration{owner: owner}
 	result, err := p.loop.Enroll(gnet.NewContext(context.Background(), r), conn)
 	if err != nil {
 		_ = conn.Close()
@@ -55,38 +55,38 @@
 // registerWithRetry registers a connection's descriptor and retries for up to registerTimeout. If that fails, the final
 // line is written to the connection, so that a client is not closed without an answer although its request may have
 // arrived. The file is closed in any case.
-func (p *Proxy) registerWithRetry(side any, file *os.File, finalLine []byte) error {
+func (p *Proxy) registerWithRetry(owner any, file *os.File, finalLine []byte) error {
 	defer file.Close()
 	ctx, cancel := context.WithTimeout(p.ctx, registerTimeout)
 	defer cancel()
 	err := transient.Retry(ctx, transient.Backoff{Initial: time.Millisecond, Max: 20 * time.Millisecond}, alwaysRetry, func() error {
 		p.post(func() { p.counters.RegisterRetries++ })
-		return p.registerFile(side, file)
+		return p.registerFile(owner, file)
 	})
 	if err != nil && p.ctx.Err() == nil {
 		p.log.Warn("cannot register a connection with the event loop; refusing it", "error", err)
 	}
 	if err != nil {
-		rejectFile(file, finalLine)
+		sendFinalLine(file, finalLine)
 	}
 	return err
 }
 
 // registerFile registers a duplicate of a descriptor; the file itself remains the caller's.
-func (p *Proxy) registerFile(side any, file *os.File) error {
+func (p *Proxy) registerFile(owner any, file *os.File) error {
 	conn, err := net.FileConn(file)
 	if err != nil {
 		return err
 	}
-	return p.register(side, conn)
+	return p.register(owner, conn)
 }
 
 // alwaysRetry makes transient.Retry go on after any error.
 func alwaysRetry(error) bool { return true }
 
-// rejectFile writes a final line to a connection that the event loop never held, and ends its sending side. The caller
+// sendFinalLine writes a final line to a connection that the event loop never held, and ends its sending side. The caller
 // closes the file.
-func rejectFile(file *os.File, finalLine []byte) {
+func sendFinalLine(file *os.File, finalLine []byte) {
 	raw, err := file.SyscallConn()
 	if err != nil {
 		return
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -27,13 +27,13 @@
 )
 
 // relayToServer forwards a client's bytes and records when its messages arrived.
-func (p *Proxy) relayToServer(c *client, b []byte) {
+func (p *Proxy) relayToServer(c *client, data []byte) {
 	a := c.attempt
 	now := p.now()
-	for range min(bytes.Count(b, []byte{'\n'}), maxUnanswered-len(c.unansweredAt)) {
+	for range min(bytes.Count(data, []byte{'\n'}), maxUnanswered-len(c.unansweredAt)) {
 		c.unansweredAt = append(c.unansweredAt, now)
 	}
-	_, _ = a.conn.Write(b) // a failure is reported as the end of the connection
+	_, _ = a.conn.Write(data) // a failure is reported as the end of the connection
 	if !a.finished && a.conn.OutboundBuffered() > maxUnsentBytes {
 		p.log.Warn("server does not read; moving its client", "server", a.server.endpoint)
 		p.moveClient(c, logic.Reset, bySilence)
@@ -41,9 +41,9 @@
 }
 
 // relayToClient forwards a server's bytes and tells the balancer what they report.
-func (p *Proxy) relayToClient(a *attempt, ev protocol.ServerEvent, data []byte) {
+func (p *Proxy) relayToClient(a *attempt, event protocol.ServerEvent, data []byte) {
 	c, now := a.client, p.now()
-	switch ev {
+	switch event {
 	case protocol.ServerLoad:
 		p.handleLoadReport(now, a, a.parser.Load)
 	case protocol.ServerMove:
@@ -115,8 +115,8 @@
 }
 
 // writeToClient forwards bytes to a client. It closes the connection of a client that does not read.
-func (p *Proxy) writeToClient(c *client, b []byte) {
-	_, _ = c.conn.Write(b) // a failure is reported as the end of the connection
+func (p *Proxy) writeToClient(c *client, data []byte) {
+	_, _ = c.conn.Write(data) // a failure is reported as the end of the connection
 	if !c.request.HasEnded() && c.conn.OutboundBuffered() > maxUnsentBytes {
 		p.log.Warn("client does not read; closing its connection")
 		p.endEstablished(c, byClient)
--- a/internal/proxy/trace_test.go
+++ b/internal/proxy/trace_test.go
@@ -19,32 +19,32 @@
 	text bytes.Buffer
 }
 
-func (k *logBuffer) Write(b []byte) (int, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.text.Write(b)
+func (l *logBuffer) Write(b []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.Write(b)
 }
 
 // contains reports whether the text has been logged.
-func (k *logBuffer) contains(text string) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return strings.Contains(k.text.String(), text)
+func (l *logBuffer) contains(text string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return strings.Contains(l.text.String(), text)
 }
 
 // tail returns the last lines of the log.
-func (k *logBuffer) tail(lines int) string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	all := strings.Split(strings.TrimSpace(k.text.String()), "\n")
+func (l *logBuffer) tail(lines int) string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	all := strings.Split(strings.TrimSpace(l.text.String()), "\n")
 	return strings.Join(all[max(0, len(all)-lines):], "\n")
 }
 
 // traceSteps returns the trace steps in the log, in order.
-func (k *logBuffer) traceSteps() (steps []string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for line := range strings.Lines(k.text.String()) {
+func (l *logBuffer) traceSteps() (steps []string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for line := range strings.Lines(l.text.String()) {
 		for _, step := range []string{"asked", "sent", "failed", "up", "ended", "answered"} {
 			if strings.Contains(line, "msg="+step+" id=") {
 				steps = append(steps, step)
