--- a/internal/proxy/admin_test.go
+++ b/internal/proxy/admin_test.go
@@ -27,7 +27,7 @@
 	}, 3*time.Second, 10*time.Millisecond)
 }
 
-func TestMetricsCountWhatPeersSaw(t *testing.T) {
+func TestMetricsMatchWhatClientsAndServersReceived(t *testing.T) {
 	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, (*proxy.Proxy).EnableMetrics, "BUSY")
 	s.waitForMetrics("current 0", "cluster_size 1", "cluster_unhealthy 0", `transactions{group="pay",state="answered"} 0`)
 	s.openRequest("c=pay,d=700").expectLine("BUSY") // sent three times, and each time refused by the server
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -30,8 +30,8 @@
 	launchedAt       logic.Micros
 	establishedCount int                // established connections of this proxy
 	recentReplies    []reply            // recent response times to messages
-	reportedLate     bool               // the balancer was last told that its responses are late
-	reports          loadreports.Server // tells reported loads from reported delays
+	reportedLate     bool               // the last response time that tick reported was late
+	reports          loadreports.Server // distinguishes reported loads from reported delays
 	probe            *probe             // nil while there is no probe connection
 }
 
@@ -55,8 +55,8 @@
 func (a *attempt) isFullyWritten() bool { return a.writeStarted && a.conn.OutboundBuffered() == 0 }
 
 // outcomeIfWritten returns the outcome of an attempt that ends before the server has answered: the given one if the
-// request line is fully written, and NoConnection otherwise. A request whose line
-// is not fully written has not run and never will, since dropAttempt discards the rest of the line.
+// request line is fully written, and NoConnection otherwise. A request whose line is not fully written has not run and
+// never will: dropAttempt discards the rest of the line, and nothing more can be written once the server has closed.
 func (a *attempt) outcomeIfWritten(outcome logic.Outcome) logic.Outcome {
 	if a.isFullyWritten() {
 		return outcome
@@ -90,7 +90,7 @@
 	p.trace("sent", c, "server", a.server.uid)
 	var ctx context.Context
 	ctx, a.cancelDial = context.WithCancel(p.ctx)
-	p.ensureDescriptors(2) // if it fails, the requests that hold the descriptors leave enough room for the attempt
+	p.ensureDescriptors(2) // the result is ignored: the descriptors that requests may hold leave enough for an attempt
 	p.openSockets += 2
 	p.scheduleAt(a.deadline, func() {
 		if !a.finished && !c.request.WasEstablished() {
@@ -118,7 +118,7 @@
 // maxUnreachableRetries is how often a dial is retried after ENETUNREACH: about 7 ms of backoff in all.
 const maxUnreachableRetries = 3
 
-// dialAndRegister dials a server and registers the connection with the event loop; side becomes its context there.
+// dialAndRegister dials a server and registers the connection with the event loop; owner becomes its context there.
 // While this machine is short of sockets or the loop's poller rejects connections, it retries until ctx ends: such
 // errors say nothing about the server and must not use up an attempt.
 func (p *Proxy) dialAndRegister(ctx context.Context, owner any, endpoint string) error {
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -31,7 +31,7 @@
 	lastOutcome     logic.Outcome // of its last attempt that ended
 	queue           *list.List    // the proxy's awaitingRequest or lingering while it is in one of them
 	queueElement    *list.Element
-	admitted        bool           // the limiter counts it and must be told when it ends
+	admitted        bool           // the limiter counts it and must be called when it ends
 	unansweredAt    []logic.Micros // arrival times of its messages that the server has not answered yet
 	connectedAt     logic.Micros   // when it was accepted, also if a predecessor process did so
 	takenOverSocket *os.File       // its socket from a predecessor process, until the event loop has it
@@ -96,7 +96,7 @@
 }
 
 // ensureDescriptors makes room for n more descriptors by closing idle clients: first those that were answered and have
-// not left, then those that have sent no request, the oldest first. This keeps hundreds of idle connections from
+// not left, then those that have not sent a whole request, the oldest first. This keeps hundreds of idle connections from
 // blocking requests. It returns false if all descriptors are in use for requests.
 func (p *Proxy) ensureDescriptors(n int) bool {
 	for p.openSockets+n > p.maxSockets {
@@ -132,7 +132,7 @@
 	}
 }
 
-// Errors that a client is told in an `ERR` line.
+// Errors that are sent to a client in an `ERR` line.
 var (
 	errNoRequest    = errors.New("nothing was asked")
 	errUnknownClass = errors.New("the class is unknown")
@@ -279,7 +279,7 @@
 	}
 }
 
-// abandon tells the balancer that a client has left, and cancels its attempt if there is one.
+// abandon reports to the balancer that a client has left, and cancels its attempt if there is one.
 func (p *Proxy) abandon(c *client) {
 	if c.id == 0 {
 		return
@@ -313,7 +313,7 @@
 	p.abandon(c)
 }
 
-// PushBack tells a client that it may safely try again after the given time. It implements host.Executor.
+// PushBack answers a client that it may safely try again after the given time. It implements host.Executor.
 func (p *Proxy) PushBack(id logic.AttachmentID, retryAfter logic.Micros) {
 	if c := p.clients[id]; c != nil {
 		p.answerAndClose(c, telemetry.Deferred, protocol.BusyLine(retryAfter), c.failureReason())
@@ -346,9 +346,9 @@
 	_ = conn.Close()
 }
 
-// closeGracefully closes a connection after the last line to the peer: it shuts down writing once the output is written
+// closeGracefully closes a connection after the final line to the peer: it shuts down writing once the output is written
 // or the deadline has passed, and closes when the peer has closed or after a second. An immediate close would reset the
-// connection if the peer still sends, and the reset may overtake the last line.
+// connection if the peer still sends, and the reset may overtake the final line.
 func (p *Proxy) closeGracefully(conn gnet.Conn, deadline logic.Micros) {
 	switch {
 	case !isOpen(conn):
--- a/internal/proxy/control_test.go
+++ b/internal/proxy/control_test.go
@@ -100,7 +100,7 @@
 }
 
 // Guards against control clients that send slowly, too much, invalid requests, or all at once.
-func TestHostileControlClientsDoNotHoldTheLoopUp(t *testing.T) {
+func TestHostileControlClientsDoNotDelayTheEventLoop(t *testing.T) {
 	s, client, path := startProxyWithControl(t, "UP a")
 	for range 60 {
 		c, err := net.Dial("unix", path)
@@ -135,7 +135,7 @@
 	}
 	status, text := call("POST", "/v2/orders", "{}")
 	require.Equal(t, http.StatusNotFound, status)
-	require.Contains(t, text, "control protocol 1 is spoken", "a client of another protocol version is told so")
+	require.Contains(t, text, "control protocol 1 is spoken", "the answer to a client of another protocol version names the supported one")
 	status, text = call("POST", "/v1/orders", `{"id":"a","verb":"drain","server":"s0","gently":true}`)
 	require.Equal(t, http.StatusBadRequest, status)
 	require.Contains(t, text, `unknown field \"gently\"`, "unknown fields are rejected")
@@ -157,7 +157,7 @@
 	s.openRequest("c=chat,d=1500").expectLine("UP a")
 }
 
-func TestTheControlSurfaceTakesNoAddressThatOthersReachAndNoFileThatIsNotItsOwn(t *testing.T) {
+func TestControlInterfaceRejectsRemoteAddressesAndReplacesOnlyUnusedSockets(t *testing.T) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for _, at := range []string{"0.0.0.0:0", "8.8.8.8:80", "nowhere", "unix:/nowhere/at/all.sock"} {
 		_, err := control.Start(at, nil, log)
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -58,9 +58,9 @@
 	return p.createAcceptor(tcp)
 }
 
-// startAccepting accepts clients on the inherited socket, once the proxy is ready, and tells a predecessor so. Connections
-// that arrive while neither process accepts wait in the socket's backlog. It does nothing if the listener is the
-// proxy's own.
+// startAccepting accepts clients on the inherited socket, once the proxy is ready, and reports this to a predecessor.
+// Connections that arrive while neither process accepts wait in the socket's backlog. It does nothing if the listener
+// is the proxy's own.
 func (p *Proxy) startAccepting() {
 	h := p.handover
 	// This runs after each answer with the server list; without the check both processes would accept.
@@ -234,7 +234,7 @@
 	p.startAccepting()
 	if !p.acceptor.Paused() {
 		// A successor that ends before it is ready may have taken over the socket's name, so that the next successor would
-		// find nobody. The new listener starts before the old one closes, so that there always is one.
+		// find no process. The new listener starts before the old one closes, so that there always is one.
 		p.listenForSuccessor()
 	}
 	if oldListener != nil {
@@ -427,7 +427,7 @@
 func (p *Proxy) resumeEstablished(info *establishedConn, clientFile, serverFile *os.File) {
 	server := p.servers[discovery.ServerID(info.Server)]
 	if server == nil || p.openIDs[info.ID] {
-		// The server is not on this process's list, or the id is in use: the client is told to connect again.
+		// The server is not on this process's list, or the id is in use: the client is asked to reconnect.
 		sendFinalLine(clientFile, protocol.MoveLine)
 		_ = clientFile.Close()
 		_ = serverFile.Close()
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -218,7 +218,7 @@
 	require.ErrorContains(t, new(proxy.Proxy).InheritListener(fd, ""), "descriptor ")
 }
 
-// A server's drain that is announced after the successor is ready and before SIGTERM applies to both processes, since
+// A server's drain that is put on the list after the successor is ready and before SIGTERM applies to both processes, since
 // either may still send requests.
 func TestServerDrainDuringHandoverBindsBothProcesses(t *testing.T) {
 	h := newHandoverEnv(t)
@@ -266,8 +266,8 @@
 	hanging.Close()
 }
 
-// The signal to leave may arrive just before the successor's message that it is ready, as on a busy machine. Guards against
-// moving all clients in that case although the successor can take them over.
+// The signal to leave may arrive just before the successor's message that it is ready, as it did in one run in ten on a busy
+// machine. Guards against moving all clients in that case although the successor can take them over.
 func TestSuccessorReadyJustAfterTheLeaveSignalTakesOver(t *testing.T) {
 	h := newHandoverEnv(t)
 	first := h.startProcess()
--- a/internal/proxy/leave.go
+++ b/internal/proxy/leave.go
@@ -9,13 +9,13 @@
 	"hatchproxy/logic"
 )
 
-// mode is what the proxy does with its clients. It decides what new clients are told.
+// mode is what the proxy does with its clients. It decides how new clients and health checks are answered.
 type mode uint8
 
 const (
-	serving mode = iota
-	evacuating
-	leaving
+	serving    mode = iota // accepts requests
+	evacuating             // moves its clients to other proxies and goes on running
+	leaving                // hands its clients over or moves them, and ends
 )
 
 const (
@@ -32,7 +32,8 @@
 	minMoveSpan = 300 * millisecond
 	// An evacuating proxy must have moved all its clients within 4 s. Established connections are moved within the
 	// first second: a longer span lowers the gain, and a shorter one does not raise it. Requests that are still pending
-	// are expired in time for their clients to be moved.
+	// are expired in time for their clients to be moved. The times are counted from the start of the evacuation; new
+	// requests are refused from evacuationMovesEnd on.
 	evacuationDelay    = 250 * millisecond
 	evacuationMovesEnd = 1000 * millisecond
 	evacuationExpireAt = 3400 * millisecond
@@ -183,11 +184,12 @@
 // begins at the earliest.
 const partialLineWait = 100 * millisecond
 
-// quit makes Run return, once established clients have been told to reconnect and all others have their final line.
+// quit makes Run return, once established clients have been asked to reconnect and all others have their final line.
 func (p *Proxy) quit() { p.quitBy(p.now() + partialLineWait) }
 
-// quitBy does the work of quit. Until the latest time it waits for clients that would otherwise be cut off without a
-// final line: their server has sent only part of a line, or their final line is still being written.
+// quitBy does the work of quit. Until the deadline it waits for clients that would otherwise be cut off without a final
+// line: their server has sent only part of a line, or their final line is still being written. Clients whose request may
+// be arriving just then are refused.
 func (p *Proxy) quitBy(deadline logic.Micros) {
 	if p.quitting || p.ctx.Err() != nil {
 		return
@@ -197,7 +199,7 @@
 			p.moveClient(c, logic.Cancelled, byLeaving)
 		}
 	}
-	if p.handover == nil { // otherwise they are in the listening socket's queue, which the successor shares
+	if p.handover == nil { // otherwise new clients wait in the backlog of the listening socket, which a successor shares
 		p.refuseAwaitingRequest()
 	}
 	if (len(p.establishedClients()) > 0 || p.lingering.Len() > 0) && p.now() < deadline {
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -15,14 +15,14 @@
 	"hatchproxy/internal/transient"
 )
 
-// errLoopEnded reports that the event loop ended without being told to. The process must then exit with an error.
+// errLoopEnded reports that the event loop ended although the proxy did not stop it. The process must then exit with an
+// error.
 var errLoopEnded = errors.New("the event loop ended unexpectedly")
 
 const (
-	// loopStartTimeout bounds the attempts to get a poller or a listener at startup.
+	// loopStartTimeout bounds the retries at startup, when the process cannot get a poller or a listener yet.
 	loopStartTimeout = 5 * time.Second
-	// loopStopTimeout bounds the wait for an event loop that has been told to stop. By then all requests have been
-	// answered.
+	// loopStopTimeout bounds the wait for an event loop that is to stop. By then all requests have been answered.
 	loopStopTimeout = time.Second
 )
 
@@ -96,7 +96,7 @@
 	}
 }
 
-// unlessAborted returns err, or nil if the process was told to leave during startup.
+// unlessAborted returns err, or nil if the process received the signal to leave during startup.
 func (p *Proxy) unlessAborted(err error) error {
 	if p.ctx.Err() != nil {
 		p.log.Info("told to leave during startup; exiting")
@@ -135,7 +135,7 @@
 // startup, and its closing shows that the loop has ended.
 type loopConn struct{ peer net.Conn }
 
-// startLoop starts the event loop. The loop does not accept connections itself: a failed accept would end it and all
+// startLoop starts the only event loop. The loop does not accept connections itself: a failed accept would end it and all
 // connections that it holds (docs/incidents/failing-calls.md).
 func (p *Proxy) startLoop() (loop *gnet.Client, err error) {
 	ctx, cancel := context.WithTimeout(p.ctx, loopStartTimeout)
@@ -226,8 +226,8 @@
 	p.endRunOnce.Do(func() { close(p.runEnded) })
 }
 
-// onLoopFailure runs in the last turn of an event loop that ends without being told to and is closing all connections.
-// Each request still gets its final answer, and Run returns errLoopEnded.
+// onLoopFailure runs in the last iteration of an event loop that ends unexpectedly, at the first of the connections that
+// it closes. Each request still gets its final answer, and Run returns errLoopEnded.
 func (p *Proxy) onLoopFailure() {
 	if p.ctx.Err() != nil {
 		return
@@ -246,8 +246,8 @@
 	p.endRun()
 }
 
-// refuseAwaitingRequest tells the clients that have not sent a whole request to try elsewhere, since a request of
-// theirs may be on its way.
+// refuseAwaitingRequest refuses the clients that have not sent a whole request, so that they try elsewhere: a request
+// of theirs may be on its way.
 func (p *Proxy) refuseAwaitingRequest() {
 	for first := p.awaitingRequest.Front(); first != nil; first = p.awaitingRequest.Front() {
 		p.refuse(first.Value.(*client), reasonLeaving)
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -29,7 +29,8 @@
 	require.ErrorIs(t, <-s.runResult, proxy.ErrLoopEnded)
 }
 
-// A client that has sent no request when the proxy ends is told to try elsewhere, since its request may be on the way.
+// A client that has sent no request when the proxy ends is refused, so that it tries elsewhere: its request may be on
+// the way.
 func TestClientsWithoutRequestAreRefusedWhenTheProxyEnds(t *testing.T) {
 	s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {}, "UP a")
 	idle := s.dial("PING\r\n")
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -21,7 +21,7 @@
 }
 
 // Probe probes a server. If the previous probe has not been answered, its age is reported as the result instead, so
-// that a hung server appears ever slower.
+// that a hung server appears ever slower. It implements host.Executor.
 func (p *Proxy) Probe(id logic.ServerID) {
 	s := p.servers[id]
 	switch {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -39,7 +39,7 @@
 	fatalErr    error         // why Run fails; nil after an orderly end
 	runEnded    chan struct{} // closed when Run is to return
 	endRunOnce  sync.Once     // guards the closing of runEnded
-	startPhase  atomic.Int32  // how far the start has got: phaseStarting and so on
+	startPhase  atomic.Int32  // phaseStarting, phaseServing or phaseAborted
 	acceptor    *acceptor     // accepts clients; nil until there is a listener
 	loopStarted chan struct{} // closed once loop is set
 	startTime   time.Time
@@ -152,8 +152,8 @@
 	return p
 }
 
-// ExpectDelays tells the proxy that servers report message delays in the same form as loads. It must be called before
-// Run.
+// ExpectDelays makes the proxy expect servers to report message delays in the same form as loads. It must be called
+// before Run.
 func (p *Proxy) ExpectDelays() { p.delaysReported = true }
 
 // reservedSockets is the number of descriptors set aside for purposes other than client and server connections: the
@@ -277,18 +277,20 @@
 	return true
 }
 
-// listUpdate applies an answer of the discovery service to the proxy's servers and the balancer.
+// listUpdate applies a server list, or the changes of one, to the proxy's servers and the balancer. It implements
+// discovery.ListVisitor.
 type listUpdate struct {
 	*Proxy
-	fromCache bool
+	fromCache bool // the list is the cached one of an earlier run, not an answer of the discovery service
 }
 
-// BeginFullList, Entry and EndList implement discovery.ListVisitor.
+// BeginFullList starts a full list: servers that have no entry in it are no longer listed.
 func (l *listUpdate) BeginFullList() {
 	l.instance.BeginFullList(l.now())
 	l.orders.BeginFullList()
 }
 
+// Entry adds or updates a server. An empty endpoint leaves the known one.
 func (l *listUpdate) Entry(uid, endpoint, zone, model string, cell logic.CellID, state logic.State,
 	weight float64, launched logic.Micros) {
 	id := discovery.ServerID(uid)
@@ -304,6 +306,7 @@
 	l.updateServer(s, l.orders.UpdateServer(l.now(), id, state, launched))
 }
 
+// EndList completes the list.
 func (l *listUpdate) EndList() {
 	l.orders.EndList()
 	l.instance.EndList(l.now(), l.fromCache)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -185,7 +185,7 @@
 	require.NoError(c.harness, err)
 }
 
-func TestLinesPassUnchangedAndTheEndPassesAsItCame(t *testing.T) {
+func TestLinesAndTheKindOfCloseAreRelayedUnchanged(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP toy")
 	c := s.openRequest("x=1,c=chat,d=1500,g=5c")
 	c.expectLine("UP toy")
@@ -255,7 +255,7 @@
 	require.NotEmpty(t, hung.FirstLines(), "the hung server was tried, since it held the fewest connections")
 }
 
-func TestWrongLinesGetOnePlainLineAndTheEnd(t *testing.T) {
+func TestInvalidLinesGetOneErrorLineAndTheConnectionIsClosed(t *testing.T) {
 	s, servers := startProxy(t, 1024, "NONE")
 	for input, want := range map[string]string{
 		"HELLO\r\n":                                   "ERR the verb is unknown",
@@ -287,7 +287,7 @@
 	require.Empty(t, servers[0].FirstLines())
 }
 
-func TestTheIdOfAnOpenConnectionIsNotSentOnAgain(t *testing.T) {
+func TestARequestWithTheIDOfAnOpenConnectionIsRejected(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP a")
 	c := s.dial("OPEN 5 1 c=chat,d=1500\r\n")
 	c.expectLine("UP a")
@@ -376,7 +376,7 @@
 	require.Eventually(t, func() bool { return log.contains("all sockets are in use for requests") }, 3*time.Second, 10*time.Millisecond, "and the log says why")
 }
 
-func TestClientsAreMovedOffAServerThatFallsSilent(t *testing.T) {
+func TestClientsAreMovedOffAServerThatStopsAnswering(t *testing.T) {
 	s, servers := startProxy(t, 1024, "UP MUTE")
 	c, cut := s.openRequest("c=chat,d=1500"), s.openRequest("c=chat,d=1500")
 	c.expectLine("UP MUTE")
@@ -392,7 +392,7 @@
 		require.NoError(t, err)
 		require.Contains(t, []string{"MOVE\r\n", "half a "}, string(rest), "no MOVE within a line")
 	}
-	// The server's last line may have come two seconds before the message.
+	// The protocol's limit counts from the server's last line, which may have come two seconds before the message.
 	require.Less(t, time.Since(start), 4*time.Second)
 }
 
@@ -434,7 +434,7 @@
 	require.Less(t, time.Since(start), 2200*time.Millisecond)
 }
 
-func TestWithoutTheListTheLastOneIsKeptAndAskedForAgain(t *testing.T) {
+func TestTheLastListIsKeptAndRequestedAgainWhileNoneCanBeRead(t *testing.T) {
 	for _, broken := range []string{"down", "{", `{"rev":9,"all":true,"targets":[{"uid":"x","state":"odd"}]}`} {
 		t.Run(broken, func(t *testing.T) {
 			s, _ := startProxy(t, 1024, "UP a")
--- a/internal/proxy/races_test.go
+++ b/internal/proxy/races_test.go
@@ -264,7 +264,7 @@
 }
 
 // A client that sends its request only while the proxy is leaving is pushed back at once.
-func TestARequestOnARestingConnectionOfAProxyThatLeavesIsPushedBack(t *testing.T) {
+func TestARequestOnAnIdleConnectionOfALeavingProxyIsPushedBack(t *testing.T) {
 	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, func(*proxy.Proxy) {}, "UP a")
 	idle := s.dial("PING\r\n")
 	idle.expectLine("PONG")
@@ -280,7 +280,7 @@
 
 // The client gets exactly one answer, even if its server sends two at once or sends something after the attempt is
 // over.
-func TestAClientHearsOneAnswerWhateverAServerSays(t *testing.T) {
+func TestAClientGetsOneAnswerWhateverItsServerSends(t *testing.T) {
 	for answer, want := range map[string]string{
 		"BUSY\r\nUP b": "BUSY", "ERR\r\nUP b": "ERR", "ERR\r\nBUSY": "ERR", "MOVE\r\nUP b": "ERR", "UP\r\nUP b": "ERR",
 		strings.Repeat("x", 10_000): "ERR", "UP " + strings.Repeat("x", 10_000): "ERR",
--- a/internal/proxy/register.go
+++ b/internal/proxy/register.go
@@ -25,7 +25,7 @@
 
 // registration is the context of a connection until the event loop has opened it.
 type registration struct {
-	owner  any
+	owner  any // a *client, an *attempt or a *probe
 	opened atomic.Bool
 }
 
@@ -92,7 +92,7 @@
 		return
 	}
 	_ = raw.Control(func(fd uintptr) {
-		_, _ = unix.Write(int(fd), finalLine) // the write fails only if the connection has ended
+		_, _ = unix.Write(int(fd), finalLine) // fails if the client does not read or the connection has ended
 		_ = unix.Shutdown(int(fd), unix.SHUT_WR)
 		discardInput(int(fd))
 	})
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -18,9 +18,9 @@
 	maxUnanswered = 64
 	// maxUnsentBytes bounds the output that is buffered for a peer that does not read; a line has at most 4 KiB.
 	maxUnsentBytes = 256 << 10
-	// responseTimeout is how long a server may leave a message unanswered before its client is moved. Late servers
-	// answer at once, too, and the longest pauses are a fifth of this. The protocol's limit of 7 s counts from the
-	// server's last line, and the next message may come 2 s after that line.
+	// responseTimeout is how long a server may leave a message unanswered before its client is moved. Even late
+	// servers answer at once, and the longest pauses observed are a fifth of this. The protocol's limit of 7 s counts
+	// from the server's last line, and the next message may come 2 s after that line.
 	responseTimeout = 1500 * millisecond
 	// responseWindow is the span over which response times are collected; clients send a message every 2 s.
 	responseWindow = 2 * second
@@ -40,7 +40,7 @@
 	}
 }
 
-// relayToClient forwards a server's bytes and tells the balancer what they report.
+// relayToClient forwards a server's bytes, and passes on to the balancer what they report.
 func (p *Proxy) relayToClient(a *attempt, event protocol.ServerEvent, data []byte) {
 	c, now := a.client, p.now()
 	switch event {
@@ -59,8 +59,8 @@
 	p.writeToClient(c, data)
 }
 
-// handleLoadReport tells the balancer what a reported figure means: the load of the connection or, where servers report
-// both, the delay of its messages. The two look alike. A delay taken for a load would make the heaviest clients of a
+// handleLoadReport gives the balancer a figure that a server reported: the load of the connection or, where servers
+// report both, the delay of its messages. The two look alike. A delay taken for a load would make the heaviest clients of a
 // late server count as its lightest.
 func (p *Proxy) handleLoadReport(now logic.Micros, a *attempt, figure float64) {
 	c, s := a.client, a.server
@@ -88,7 +88,7 @@
 			}
 			p.adjustDelayEvidence(-1)
 			if p.delayEvidence == 0 {
-				p.adjustDelayEvidence(-1) // until a series of delays is heard
+				p.adjustDelayEvidence(-1) // a first figure is not taken for a delay until there is a series of them
 			}
 			if !c.request.HasEnded() {
 				p.instance.LoadChanged(p.now(), c.id, figure)
@@ -109,7 +109,7 @@
 	p.instance.SetDelaysReported(p.delayEvidence > 0)
 }
 
-// reportDelay tells the balancer how many milliseconds a message takes at a server.
+// reportDelay gives the balancer the time in milliseconds that a message takes at a server.
 func (p *Proxy) reportDelay(now logic.Micros, s *server, ms float64) {
 	p.instance.RecordDelay(now, s.id, logic.Micros(ms*float64(millisecond)))
 }
@@ -126,7 +126,8 @@
 	}
 }
 
-// Move asks the client of an established connection to reconnect, and closes the connection.
+// Move asks the client of an established connection to reconnect, and closes the connection. It implements
+// host.Executor.
 func (p *Proxy) Move(id logic.AttachmentID) {
 	c := p.clients[id]
 	if c == nil || !c.request.WasEstablished() {
@@ -145,7 +146,7 @@
 	p.moveClientBy(c, outcome, by, p.now()+second)
 }
 
-// moveClientBy does the work of moveClient. From the latest time on it no longer waits for the end of a line; MOVE is
+// moveClientBy does the work of moveClient. From the deadline on it no longer waits for the end of a line; MOVE is
 // never sent within one.
 func (p *Proxy) moveClientBy(c *client, outcome logic.Outcome, by string, deadline logic.Micros) {
 	a := c.attempt
@@ -210,7 +211,7 @@
 	for _, c := range unanswered {
 		if !c.request.HasEnded() {
 			p.log.Warn("server does not answer messages; moving its client", "server", c.attempt.server.endpoint)
-			// At once, even within a line: the rest of the line will not come.
+			// At once, even within a line: the rest of the line is not expected any more.
 			p.moveClientBy(c, logic.Reset, bySilence, now)
 		}
 	}
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -30,7 +30,7 @@
 	s.reloadSignals <- syscall.SIGHUP
 }
 
-func TestClassesComeAndGoWhileOpenConnectionsGoOn(t *testing.T) {
+func TestClassesChangeWhileOpenConnectionsContinue(t *testing.T) {
 	s, _ := startProxyWith(t, 1024, (*proxy.Proxy).EnableMetrics)
 	received := make(chan struct{}, 20)
 	server, err := fleet.StartScriptedServer(func(line string) string {
--- a/internal/proxy/serverlist.go
+++ b/internal/proxy/serverlist.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// The protocol defines when a change of the list counts as delivered, whether or not the discovery service has sent
-	// it: silenceDeliveryLimit after the service's last answer or waitDeliveryLimit after the end of the long poll that is
-	// open then, whichever is later.
+	// A change of the list counts as delivered from the moment from which the protocol holds the proxy to it, whether or
+	// not it has arrived: silenceDeliveryLimit after the service's last answer or waitDeliveryLimit after the end of the
+	// long poll that is open then, whichever is later.
 	silenceDeliveryLimit = 6 * second
 	waitDeliveryLimit    = 2 * second
 	// newServiceDeliveryLimit is how long after a new configuration the list of the discovery service that it names counts
--- a/internal/proxy/serverlist_test.go
+++ b/internal/proxy/serverlist_test.go
@@ -44,7 +44,7 @@
 	require.Empty(t, servers[0].FirstLines())
 }
 
-// Guards against a request that is sent to a draining server, since the drain was announced while the dial was under way.
+// Guards against a request that is sent to a draining server when the drain arrives while the dial is under way.
 func TestNoRequestIsSentIfServerBeganToDrainDuringDial(t *testing.T) {
 	hold, dialled, release := holdDials()
 	s, servers := startProxyWithConfig(t, configWithoutProbes, 1024, hold, "UP a")
@@ -101,8 +101,9 @@
 	require.Contains(t, []string{"BUSY\r\n", "UP b\r\n"}, line, "the waiting client is answered")
 }
 
-// Guards against requests that go to a draining server for 40 s while the discovery service rejects calls: a failed
-// call must not extend the time for which the list may be used.
+// Guards against requests that go to a draining server for 40 s while the discovery service rejects calls. That is
+// four times the longest allowed interval between two list requests: failed calls extended the time for which the list
+// was used, which they must not.
 func TestRejectedListRequestDoesNotExtendFreshness(t *testing.T) {
 	const grace = 200 * logic.Millisecond
 	s, servers := startProxyWith(t, 1024, func(p *proxy.Proxy) { p.SetListLimits(grace, 10*logic.Second, false) }, "UP a")
--- a/internal/proxy/trace_test.go
+++ b/internal/proxy/trace_test.go
@@ -54,7 +54,8 @@
 	return steps
 }
 
-// At debug level each step of a request must be in the log, so that a request can be followed to its end.
+// At debug level each step of a request must be in the log, so that a request can be followed to its end. Guards against
+// logs that have set-ups and no ends, so that the time that clients lost cannot be accounted for.
 func TestEachStepOfARequestIsInTheDebugLog(t *testing.T) {
 	log := &logBuffer{}
 	s, _ := startProxyWithConfig(t, configWithoutProbes, 1024, func(p *proxy.Proxy) {
