--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -90,7 +90,7 @@
 	p.trace("sent", c, "server", a.server.uid)
 	var ctx context.Context
 	ctx, a.cancelDial = context.WithCancel(p.ctx)
-	p.ensureDescriptors(2) // the result is ignored: the descriptors that requests may hold leave enough for an attempt
+	p.ensureDescriptors(2) // the attempt starts even if none are free: dialAndRegister retries while descriptors are short
 	p.openSockets += 2
 	p.scheduleAt(a.deadline, func() {
 		if !a.finished && !c.request.WasEstablished() {
