--- a/cmd/hatchagent/main.go
+++ b/cmd/hatchagent/main.go
@@ -36,7 +36,7 @@
 		Use: "serve FILE", Short: "Run the agent until SIGTERM; its instances keep running", Args: cobra.ExactArgs(1),
 		Example: "  hatchagent serve /etc/hatchproxy/agent.toml",
 		Long: `Starts and monitors the instances in the configuration file, and gives each the orders in effect. The log of orders is in the
-data folder that the file names. If the file names other agents, the log is replicated among them. When an agent stops or
+data directory that the file names. If the file names other agents, the log is replicated among them. When an agent stops or
 crashes, its instances keep running; the next run of the agent takes them over.
 
 Exit codes: 0 stopped by a signal, 2 could not run (for example an invalid file, a corrupt log, an address in use).`,
--- a/cmd/hatchctl/cli.go
+++ b/cmd/hatchctl/cli.go
@@ -62,8 +62,8 @@
 
 // view returns what all agents know together.
 func (app *cli) view(ctx context.Context) (v agent.View, err error) {
-	return v, app.tryAgents(ctx, func(ctx context.Context, c *agent.Client) error {
-		v, err = c.ClusterView(ctx)
+	return v, app.tryAgents(ctx, func(ctx context.Context, client *agent.Client) error {
+		v, err = client.ClusterView(ctx)
 		return err
 	})
 }
@@ -80,8 +80,8 @@
 	var number uint64
 	var err error
 	for deadline := time.Now().Add(app.timeout); ; {
-		err = app.tryAgents(ctx, func(ctx context.Context, a *agent.Client) error {
-			number, err = a.Submit(ctx, c)
+		err = app.tryAgents(ctx, func(ctx context.Context, client *agent.Client) error {
+			number, err = client.Submit(ctx, c)
 			return err
 		})
 		if err == nil || time.Now().After(deadline) || ctx.Err() != nil {
@@ -90,7 +90,7 @@
 		time.Sleep(pollInterval * 2)
 	}
 	if err != nil {
-		return 0, exitError{exitNotAgreed, err.Error()}
+		return 0, exitError{exitNotCommitted, err.Error()}
 	}
 	return number, nil
 }
@@ -334,9 +334,11 @@
 			Use: action + " AGENT", Short: short, Args: cobra.ExactArgs(1),
 			Long: short + ". Change one agent at a time: a majority of the voters has to accept each change before the next. Keep three or five voters.",
 			RunE: func(cmd *cobra.Command, args []string) error {
-				err := app.tryAgents(cmd.Context(), func(ctx context.Context, a *agent.Client) error { return a.ChangeVoters(ctx, action, args[0]) })
+				err := app.tryAgents(cmd.Context(), func(ctx context.Context, client *agent.Client) error {
+					return client.ChangeVoters(ctx, action, args[0])
+				})
 				if err != nil {
-					return exitError{exitNotAgreed, err.Error()}
+					return exitError{exitNotCommitted, err.Error()}
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", args[0], action)
 				return nil
@@ -489,8 +491,8 @@
 		Use: "reload", Short: "Make all instances reload their configuration", Args: cobra.NoArgs, Long: exitCodesHelp,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var results map[string]string
-			err := app.tryAgents(cmd.Context(), func(ctx context.Context, a *agent.Client) (err error) {
-				results, err = a.Reload(ctx)
+			err := app.tryAgents(cmd.Context(), func(ctx context.Context, client *agent.Client) (err error) {
+				results, err = client.Reload(ctx)
 				return err
 			})
 			if err != nil {
--- a/cmd/hatchctl/duties.go
+++ b/cmd/hatchctl/duties.go
@@ -13,7 +13,7 @@
 	"hatchproxy/agent/clusterstate"
 )
 
-// rollByConductor starts a rolling restart, which the agent that holds the duty of the conductor carries out, and waits until it is done.
+// rollByConductor starts a rolling restart, which the agent that holds the conductor duty carries out, and waits until it is done.
 func (app *cli) rollByConductor(cmd *cobra.Command, names []string, share float64) error {
 	command := clusterstate.Command{ID: newCommandID(), Verb: clusterstate.Roll, Instances: names, Share: share}
 	if _, err := app.submit(cmd.Context(), command); err != nil {
--- a/cmd/hatchctl/main.go
+++ b/cmd/hatchctl/main.go
@@ -14,12 +14,12 @@
 
 // The exit codes, and their description in the help texts.
 const (
-	exitSuccess   = 0
-	exitRefused   = 1 // an instance refused an order or does not know the server, or a restart failed
-	exitCannotRun = 2 // invalid arguments, or no agent answers
-	exitNoAnswer  = 3 // not all instances answered in time
-	exitNotAgreed = 4 // the command was not committed, or it is unknown whether it was
-	exitCodesHelp = `Exit codes: 0 all obeyed, 1 an instance refused, failed or does not know the server, 2 could not run (invalid arguments, no agent answers),
+	exitSuccess      = 0
+	exitRefused      = 1 // an instance refused an order or does not know the server, or a restart failed
+	exitCannotRun    = 2 // invalid arguments, or no agent answers
+	exitNoAnswer     = 3 // not all instances answered in time
+	exitNotCommitted = 4 // the command was not committed, or it is unknown whether it was
+	exitCodesHelp    = `Exit codes: 0 all obeyed, 1 an instance refused, failed or does not know the server, 2 could not run (invalid arguments, no agent answers),
 3 not all answered in time, 4 the command was not committed, or it is unknown whether it was (with --id, a repetition is applied once).`
 )
 
--- a/cmd/hatchctl/main_test.go
+++ b/cmd/hatchctl/main_test.go
@@ -87,7 +87,7 @@
 		"one refuses":                                {200, []agent.InstanceView{obeyed, instanceThatAnswered("n2", orders.Refused)}, exitRefused, `"verdict": "refused"`},
 		"one does not know the server":               {200, []agent.InstanceView{obeyed, instanceThatAnswered("n2", orders.Unknown)}, exitRefused, `"verdict": "unknown"`},
 		"an answer to an older order does not count": {200, []agent.InstanceView{{Name: "n1", ShouldRun: true, State: supervisor.Ready, OrderResults: map[string]agent.OrderResult{"s1": {Number: 6, Verdict: orders.Obeyed}}}}, exitNoAnswer, `"no answer"`},
-		"the command is not committed":               {503, []agent.InstanceView{obeyed}, exitNotAgreed, ""},
+		"the command is not committed":               {503, []agent.InstanceView{obeyed}, exitNotCommitted, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			address, commands := newFakeAgent(t, c.status, c.instances...)
