--- a/agent/agent.go
+++ b/agent/agent.go
@@ -32,7 +32,7 @@
 	LogAddress           string           `toml:"log"`     // loopback address and port on which other agents' Raft connections are accepted
 	AdvertisedLogAddress string           `toml:"reached"` // where other agents reach LogAddress if it differs, as behind address translation
 	SourceAddress        string           `toml:"from"`    // local address of connections to other agents; any if empty
-	ElectionTimeout      string           `toml:"beat"`    // how long a leader may be silent before an election, such as "1s"; the same for all agents
+	ElectionTimeout      string           `toml:"beat"`    // how long no message may come from the leader before an election, such as "1s"; the same for all agents
 	NonVoter             bool             `toml:"hears"`   // joins without a vote, and only replicates the log until it is promoted
 	Duties               []string         // duties that this agent is a candidate for: "conductor"
 	DataDir              string           `toml:"data"`     // directory of the Raft log and of the instances' logs, orders and process files
@@ -270,7 +270,7 @@
 	return a.config.Peers
 }
 
-// electionTimeout returns how long a leader may be silent before an election: the configured value or the default.
+// electionTimeout returns how long no message may come from the leader before an election: the configured value or the default.
 func (c *Config) electionTimeout() (time.Duration, error) {
 	if c.ElectionTimeout == "" {
 		return defaultElectionTimeout, nil
--- a/agent/clusterstate/state_test.go
+++ b/agent/clusterstate/state_test.go
@@ -91,8 +91,7 @@
 	require.NotContains(t, s.Orders, "s7")
 }
 
-// Fleets of 350 instances and hundreds of servers have to be supported. A command could name no more than 1,000 instances, which left too
-// little room.
+// A fleet of 350 processes and hundreds of servers has to be supported, and a command could name only 1,000 instances.
 func TestCommandsScaleToElevenHundredInstances(t *testing.T) {
 	var s clusterstate.State
 	var names []string
--- a/agent/journal.go
+++ b/agent/journal.go
@@ -36,7 +36,7 @@
 	*stateMachine
 }
 
-// stateMachine applies committed log entries to the state and saves the result to a file. The log alone doesn't tell which of its
+// stateMachine applies committed log entries to the state and saves the result to a file. The log alone doesn't show which of its
 // entries are committed until a leader says so, so without the file an agent that restarts while the others are unreachable would
 // have no state for its instances.
 type stateMachine struct {
@@ -48,11 +48,11 @@
 }
 
 const (
-	// defaultElectionTimeout is how long the agents wait without hearing from the leader before they elect another. It suits a
+	// defaultElectionTimeout is how long the agents wait without a message from the leader before they elect another. It suits a
 	// network within one site, with delays of milliseconds. Between sites the timeout has to be well above the round-trip time; the
 	// agents' configuration files can set it.
 	defaultElectionTimeout = 300 * time.Millisecond
-	// commitNotifyInterval is how often a leader tells each other agent up to which entry the log is committed. Shorter intervals
+	// commitNotifyInterval is how often a leader reports to each other agent up to which entry the log is committed. Shorter intervals
 	// multiply the traffic of a large idle cluster, and commands then arrive later: a hundred idle agents sent 3.7 MB/s in all and
 	// received commands after a median of 192 ms at an interval of 5 ms; at 25 ms it was 1.5 MB/s and 133 ms.
 	commitNotifyInterval = 25 * time.Millisecond
@@ -63,8 +63,8 @@
 	keptSnapshots = 2
 )
 
-// streamLayer makes and accepts the connections for replication. It connects from the agent's source address and tells the others
-// the agent's advertised address.
+// streamLayer makes and accepts the connections for replication. It connects from the agent's source address and gives the
+// others the agent's advertised address.
 type streamLayer struct {
 	*gatedListener
 	sourceIP, advertisedAddress string
--- a/agent/members/members.go
+++ b/agent/members/members.go
@@ -22,11 +22,11 @@
 
 // Member is an agent or an instance with its state.
 type Member struct {
-	Name       string       `json:"name"`
-	Kind       string       `json:"kind"` // "agent" or "instance"
-	State      State        `json:"state"`
-	StateSince logic.Micros `json:"since"` // when it entered this state, by the callers' clock
-	HeardAt    logic.Micros `json:"heard"` // time of the last heartbeat by that clock, 0 if there was none
+	Name            string       `json:"name"`
+	Kind            string       `json:"kind"` // "agent" or "instance"
+	State           State        `json:"state"`
+	StateSince      logic.Micros `json:"since"` // when it entered this state, by the callers' clock
+	LastHeartbeatAt logic.Micros `json:"heard"` // time of the last heartbeat by that clock, 0 if there was none
 }
 
 // List holds the members. New makes one.
@@ -35,8 +35,8 @@
 	members                               map[string]*Member
 }
 
-// New returns an empty list. A member is suspected once it has been silent for suspectAfter and lost once it has been silent for
-// lostAfter. One that comes back is alive again after recoverAfter.
+// New returns an empty list. A member is suspected after suspectAfter without a heartbeat and lost after lostAfter without one. One that
+// comes back is alive again after recoverAfter.
 func New(suspectAfter, lostAfter, recoverAfter logic.Micros) *List {
 	return &List{suspectAfter, lostAfter, recoverAfter, map[string]*Member{}}
 }
@@ -54,7 +54,7 @@
 	if m == nil {
 		return false
 	}
-	m.HeardAt = max(m.HeardAt, now)
+	m.LastHeartbeatAt = max(m.LastHeartbeatAt, now)
 	switch m.State {
 	case Lost, Left:
 		return m.setState(now, Back)
@@ -72,16 +72,16 @@
 	return m != nil && m.State != Left && m.setState(now, Left)
 }
 
-// Tick updates the states of members that have been silent, and returns those whose state has changed, sorted by name.
+// Tick updates the states of members whose heartbeats are overdue, and returns those whose state has changed, sorted by name.
 func (l *List) Tick(now logic.Micros) []Member {
 	var changed []Member
 	for _, m := range l.All() {
 		member := l.members[m.Name]
-		silence := now - max(m.HeardAt, 0)
+		silence := now - max(m.LastHeartbeatAt, 0)
 		previous := m.State
 		switch {
 		case m.State == Left, m.State == Lost:
-		case m.HeardAt == 0 && now-m.StateSince < l.lostAfter:
+		case m.LastHeartbeatAt == 0 && now-m.StateSince < l.lostAfter:
 		case silence >= l.lostAfter:
 			member.setState(now, Lost)
 		case silence >= l.suspectAfter && m.State != Suspected && m.State != Joining:
--- a/agent/process.go
+++ b/agent/process.go
@@ -16,7 +16,7 @@
 // dies, and the next run finds them through the file that this type is saved to.
 type process struct {
 	PID           int    `json:"pid"`
-	StartTime     string `json:"start"`   // as the kernel counts it; tells the process from a later one with the same PID
+	StartTime     string `json:"start"`   // as the kernel counts it; distinguishes the process from a later one with the same PID
 	RestartNumber uint64 `json:"restart"` // the number of the last restart command that this process has fulfilled
 
 	exitReason chan string // receives why it ended; nil if an earlier run of the agent started it
