--- a/agent/clusterstate/state_test.go
+++ b/agent/clusterstate/state_test.go
@@ -91,7 +91,7 @@
 	require.NotContains(t, s.Orders, "s7")
 }
 
-// A command could name only 1,000 instances, too few for the fleets that have to be supported.
+// A fleet of 350 processes and hundreds of servers has to be supported, and a command could name only 1,000 instances.
 func TestCommandsScaleToElevenHundredInstances(t *testing.T) {
 	var s clusterstate.State
 	var names []string
--- a/agent/members/members.go
+++ b/agent/members/members.go
@@ -14,19 +14,19 @@
 const (
 	Joining   State = "joining" // expected, no heartbeat yet
 	Alive     State = "alive"
-	Suspected State = "suspected" // silent for a short time
-	Lost      State = "lost"      // silent for longer
-	Back      State = "back"      // heard again after it was lost or left; alive after some time
+	Suspected State = "suspected" // no heartbeat for a short time
+	Lost      State = "lost"      // no heartbeat for longer
+	Back      State = "back"      // heartbeats again after it was lost or left; alive after some time
 	Left      State = "left"      // it announced that it leaves
 )
 
 // Member is an agent or an instance with its state.
 type Member struct {
-	Name       string       `json:"name"`
-	Kind       string       `json:"kind"`
-	State      State        `json:"state"`
-	StateSince logic.Micros `json:"since"` // when it entered this state
-	HeardAt    logic.Micros `json:"heard"` // time of the last heartbeat, 0 if there was none
+	Name            string       `json:"name"`
+	Kind            string       `json:"kind"` // "agent" or "instance"
+	State           State        `json:"state"`
+	StateSince      logic.Micros `json:"since"` // when it entered this state, by the callers' clock
+	LastHeartbeatAt logic.Micros `json:"heard"` // time of the last heartbeat by that clock, 0 if there was none
 }
 
 // List holds the members. New makes one.
@@ -35,8 +35,8 @@
 	members                               map[string]*Member
 }
 
-// New returns an empty list. A member is suspected once it has been silent for suspectAfter and lost once it has been silent for
-// lostAfter. One that comes back is alive again after recoverAfter.
+// New returns an empty list. A member is suspected after suspectAfter without a heartbeat and lost after lostAfter without one. One that
+// comes back is alive again after recoverAfter.
 func New(suspectAfter, lostAfter, recoverAfter logic.Micros) *List {
 	return &List{suspectAfter, lostAfter, recoverAfter, map[string]*Member{}}
 }
@@ -48,13 +48,13 @@
 	}
 }
 
-// RecordHeartbeat records a heartbeat and reports whether the member's state has changed. One of an unknown member is ignored.
+// RecordHeartbeat records a heartbeat and reports whether the member's state has changed. Heartbeats of unknown members are ignored.
 func (l *List) RecordHeartbeat(now logic.Micros, name string) bool {
 	m := l.members[name]
 	if m == nil {
 		return false
 	}
-	m.HeardAt = max(m.HeardAt, now)
+	m.LastHeartbeatAt = max(m.LastHeartbeatAt, now)
 	switch m.State {
 	case Lost, Left:
 		return m.setState(now, Back)
@@ -72,16 +72,16 @@
 	return m != nil && m.State != Left && m.setState(now, Left)
 }
 
-// Tick updates the states of members that have been silent, and returns those whose state has changed, sorted by name.
+// Tick updates the states of members whose heartbeats are overdue, and returns those whose state has changed, sorted by name.
 func (l *List) Tick(now logic.Micros) []Member {
 	var changed []Member
 	for _, m := range l.All() {
 		member := l.members[m.Name]
-		silence := now - max(m.HeardAt, 0)
+		silence := now - max(m.LastHeartbeatAt, 0)
 		previous := m.State
 		switch {
 		case m.State == Left, m.State == Lost:
-		case m.HeardAt == 0 && now-m.StateSince < l.lostAfter:
+		case m.LastHeartbeatAt == 0 && now-m.StateSince < l.lostAfter:
 		case silence >= l.lostAfter:
 			member.setState(now, Lost)
 		case silence >= l.suspectAfter && m.State != Suspected && m.State != Joining:
--- a/agent/process.go
+++ b/agent/process.go
@@ -16,15 +16,15 @@
 // dies, and the next run finds them through the file that this type is saved to.
 type process struct {
 	PID           int    `json:"pid"`
-	StartTime     string `json:"start"`   // as the kernel counts it; tells the process from a later one with the same PID
+	StartTime     string `json:"start"`   // as the kernel counts it; distinguishes the process from a later one with the same PID
 	RestartNumber uint64 `json:"restart"` // the number of the last restart command that this process has fulfilled
 
 	exitReason chan string // receives why it ended; nil if an earlier run of the agent started it
 }
 
-// startProcess starts a process that outlives the agent, with its output appended to the file log.
-func startProcess(command []string, log string, restart uint64) (*process, error) {
-	logFile, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+// spawnProcess starts a process that outlives the agent, with its output appended to the file at logPath.
+func spawnProcess(command []string, logPath string, restartNumber uint64) (*process, error) {
+	logFile, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -35,7 +35,7 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	p := &process{PID: cmd.Process.Pid, RestartNumber: restart, exitReason: make(chan string, 1)}
+	p := &process{PID: cmd.Process.Pid, RestartNumber: restartNumber, exitReason: make(chan string, 1)}
 	_, p.StartTime = kernelStartTime(p.PID)
 	go func() {
 		reason := "it ended by itself"
