--- a/internal/succession/succession.go
+++ b/internal/succession/succession.go
@@ -20,8 +20,8 @@
 
 const (
 	socketName = "hatchproxy.sock"
-	// maxPacketBytes exceeds every packet that is sent: one connection takes a few hundred bytes, and a client's first
-	// line has at most 4 KiB.
+	// maxPacketBytes is more than any packet has: the packet of a connection has a few hundred bytes, and a client's first
+	// line, which may be in it, at most 4 KiB.
 	maxPacketBytes = 32 << 10
 	// maxFilesPerPacket allows for one client connection and one server connection in a packet.
 	maxFilesPerPacket = 2
@@ -88,13 +88,13 @@
 // Close closes the connection; the peer's Receive then returns an error.
 func (c *Conn) Close() { _ = c.conn.Close() }
 
-// Dial connects to the process that listens in folder. It fails if there is none.
-func Dial(folder string) (*Conn, error) {
+// Dial connects to the process that listens in dir. It fails if there is none.
+func Dial(dir string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	var conn net.Conn
 	err := transient.Retry(ctx, transient.Backoff{Initial: time.Millisecond, Max: 50 * time.Millisecond}, transient.IsResourceShortage, func() (err error) {
-		conn, err = new(net.Dialer).DialContext(ctx, "unixpacket", filepath.Join(folder, socketName))
+		conn, err = new(net.Dialer).DialContext(ctx, "unixpacket", filepath.Join(dir, socketName))
 		return err
 	})
 	if err != nil {
@@ -109,10 +109,10 @@
 	path     string
 }
 
-// Listen makes this process the one that Dial reaches in folder, in place of any earlier one. It calls accepted, on a
-// goroutine of its own, with each connection that comes in.
-func Listen(folder string, log *slog.Logger, accepted func(*Conn)) (*Listener, error) {
-	ownPath := filepath.Join(folder, fmt.Sprintf("%s.%d", socketName, os.Getpid()))
+// Listen makes this process the one that Dial reaches in dir, in place of any earlier one. It calls accepted with each
+// connection that comes in, one after another on a goroutine of its own.
+func Listen(dir string, log *slog.Logger, accepted func(*Conn)) (*Listener, error) {
+	ownPath := filepath.Join(dir, fmt.Sprintf("%s.%d", socketName, os.Getpid()))
 	if err := os.Remove(ownPath); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err // left over from an earlier process with the same PID
 	}
@@ -121,7 +121,7 @@
 		return nil, err
 	}
 	l.SetUnlinkOnClose(false) // by then the path may belong to the next process
-	s := &Listener{l, filepath.Join(folder, socketName)}
+	s := &Listener{l, filepath.Join(dir, socketName)}
 	// The rename replaces the previous socket atomically, so that the path always leads to a process.
 	if err := errors.Join(os.Chmod(ownPath, 0o600), os.Rename(ownPath, s.path)); err != nil {
 		_ = l.Close()
@@ -145,9 +145,9 @@
 // closeGracePeriod is far longer than it takes to accept the connections that are already queued.
 const closeGracePeriod = time.Second
 
-// CloseGracefully closes the listener after closeGracePeriod, when another listener of the same process has replaced it.
-// Connections that were opened to it before the replacement, and are still queued, are accepted; otherwise the process
-// that opened one would never be served.
+// CloseGracefully closes the listener after closeGracePeriod. It is for a listener that another one of the same process has
+// replaced: connections that were opened to it before, and are still queued, are accepted. Otherwise a process that
+// connected at the moment of the replacement would never be served.
 func (s *Listener) CloseGracefully() { _ = s.listener.SetDeadline(time.Now().Add(closeGracePeriod)) }
 
 // Close closes the listener at once. It leaves the socket's path in place, as that may belong to another process by now;
