--- a/internal/platformconfig/config.go
+++ b/internal/platformconfig/config.go
@@ -29,7 +29,7 @@
 	knownServers json.RawMessage
 	hash         string
 
-	pushedByAgent bool              // list changes are pushed to an agent
+	pushedByAgent bool              // the server list comes from an agent, to which changes are pushed
 	kindByKey     map[string]string // the kind of value under each key, as recordKinds notes it
 }
 
@@ -116,7 +116,7 @@
 	}, nil
 }
 
-// validate returns the first fault of the configuration.
+// validate returns an error that says what is invalid.
 func (c *Config) validate() error {
 	for _, field := range []struct{ name, address string }{{"listen", c.listenAddress}, {"discovery", c.discoveryAddress}, {"admin_addr", c.adminAddress}} {
 		if field.name == "admin_addr" && field.address == "" {
@@ -150,7 +150,8 @@
 }
 
 const (
-	// maxDeadlineMillis and maxDispatches are far above any value that makes sense.
+	// maxDeadlineMillis and maxDispatches are far above the time that any client waits and the number of attempts that
+	// anybody pays for.
 	maxDeadlineMillis = 1e9
 	maxDispatches     = 1e4
 )
@@ -315,17 +316,17 @@
 	return c.durationOr("invariants.ask-within-ms", 10_000)
 }
 
-// DrainGrace returns how long the proxy may still send to a server after it was told to drain.
+// DrainGrace returns how long new requests may still go to a server after its drain counts as delivered.
 func (c *Config) DrainGrace() logic.Micros {
 	return c.durationOr("invariants.stop-sending-within-ms", 0)
 }
 
-// PushedByAgent reports whether changes of the server list are pushed to an agent. Then each change counts as announced at
-// once, whether or not the proxy asks for it.
+// PushedByAgent reports whether the server list comes from an agent, to which changes are pushed. Then each change counts
+// as delivered at once, whether or not the proxy asks for it.
 func (c *Config) PushedByAgent() bool { return c.pushedByAgent }
 
-// LateThreshold returns the delay from which on a server's messages count as late: a third of the shortest quoted message
-// time. It is the largest Micros if no product has such a time.
+// LateThreshold returns the delay from which on a server's messages count as late: a third of the shortest quoted time of a
+// message. It is the largest Micros if no product has such a time.
 func (c *Config) LateThreshold() logic.Micros {
 	products, _ := c.settings.products() // validated when the configuration was read
 	shortest := logic.Micros(math.MaxInt64)
@@ -394,5 +395,6 @@
 	}
 }
 
-// EscapeValue replaces the spaces and commas in a value with underscores; a comma would separate list items.
+// EscapeValue returns a name or value in the form that it has in Settings: with underscores in place of spaces and commas,
+// which would be taken for separators.
 func EscapeValue(s string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(s) }
--- a/internal/platformconfig/config_test.go
+++ b/internal/platformconfig/config_test.go
@@ -150,5 +150,5 @@
 	require.ErrorContains(t, checkReplacement(t, strings.Replace(completeConfig, `"cores":1.0,`, ``, 1)), "/limits/cores: missing")
 	require.ErrorContains(t, checkReplacement(t, strings.Replace(completeConfig, "300.0}]", "300.0},"+strings.Replace(second, "pay", "chat", 1)+"]", 1)), "stands there twice")
 	require.ErrorContains(t, checkReplacement(t, strings.Replace(completeConfig, "300.0}]", "300.0},"+strings.Replace(second, `"idempotency":"once",`, "", 1)+"]", 1)),
-		"/settings/products/*/idempotency: missing", "each product has the keys that all products had before")
+		"/settings/products/*/idempotency: missing", "each product must have the keys that all products had before")
 }
--- a/internal/platformconfig/settings.go
+++ b/internal/platformconfig/settings.go
@@ -13,9 +13,9 @@
 	"hatchproxy/logic"
 )
 
-// Settings holds the values that an instance is started with, by path: "limits.max-dispatches". A list of plain values is
-// one value, joined with commas; a list of objects has its length under "path.count" and its items under "path.0", "path.1"
-// and so on.
+// Settings holds the values that an instance is started with, each under its path, such as "limits.max-dispatches". A list
+// of plain values is one value, joined with commas. A list of objects has its length under "path.count" and its items
+// under "path.0", "path.1" and so on.
 type Settings map[string]string
 
 // SettingsFromLines reads settings from path=value lines. It ignores lines without "=".
@@ -129,8 +129,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// What these settings weigh, the balancer takes into account anyway, so their values have no influence. Values that are
-	// not valid numbers are still errors.
+	// The balancer takes into account anyway what these settings weigh, so their values have no effect. Values that are
+	// negative or not numbers are errors all the same.
 	blend, err := s.numbers("blend.nines", "blend.nines-wanted")
 	if err != nil {
 		return nil, err
