--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,6 @@
-// Package discovery is the client of the discovery service: it fetches the list of servers and follows its changes.
+// Package discovery is the client of the discovery service: it fetches the list of servers and follows its changes. It makes
+// two kinds of calls: a poll, which the service is to answer at once, and a watch, a long poll that the service holds until
+// there is a change or the watch's hold time is over.
 package discovery
 
 import (
@@ -23,7 +25,8 @@
 	// BeginFullList comes first if the answer is the full list and not only its changes: servers that have no entry in it
 	// are no longer listed.
 	BeginFullList()
-	// Entry is called for each server in the answer. launchedAt is when the server was started.
+	// Entry is called for each server in the answer. weight is the capacity that the service states, and launchedAt is when
+	// the server was started.
 	Entry(uid, endpoint, zone, model string, cell logic.CellID, state logic.State, weight float64,
 		launchedAt logic.Micros)
 	// EndList comes last.
@@ -85,23 +88,23 @@
 
 const (
 	connectTimeout = time.Second
-	// immediateHold is the hold time of a poll: a call that the service is to answer at once, with or without changes.
+	// immediateHold is the hold time of a poll, which is to be answered at once with or without changes.
 	immediateHold = time.Millisecond
 	// watchOverdue is how long after the end of its hold time a watch may remain unanswered before a second call is made
-	// beside it. A change that a stalled watch misses counts as announced 2 s after the hold time: this leaves three
+	// beside it. A change that a stalled watch misses counts as delivered 2 s after the hold time: this leaves three
 	// quarters of that to a second call that has to connect, is rejected once, or is queued.
 	watchOverdue = 500 * time.Millisecond
 	// pollOverdue is how long a poll may remain unanswered before a second call is made. A change that a poll misses counts
-	// as announced after 6 s, or 4 s after a new configuration. A service that handles calls one after another is a second
+	// as delivered after 6 s, or 4 s after a new configuration. A service that handles calls one after another is a second
 	// or two behind when all proxies call at once, and a second call from each would only lengthen its queue.
 	pollOverdue = 2 * time.Second
 	// pollTimeout is how long a poll may take in all. The service drops calls that have waited for several seconds.
 	pollTimeout = 4 * time.Second
 	// maxConcurrentCalls allows for one call and the second call beside it.
 	maxConcurrentCalls = 2
-	// minHoldFraction is the smallest hold time of a watch, as a fraction of the longest. Hold times are drawn at random so
-	// that watches which began with the same change, and stalled together, do not end together, nor do the calls that
-	// replace them.
+	// minHoldFraction is the shortest hold time of a watch, as a fraction of the longest. Hold times are drawn at random, so
+	// that watches which began with the same change, and stalled together, end at different times, and the calls that
+	// replace them are spread as well.
 	minHoldFraction = 0.6
 	// maxAnswerBytes is enough for some 15,000 servers. A longer answer is invalid, and one without an end must not fill the
 	// few tens of megabytes of memory that a proxy has.
@@ -110,8 +113,7 @@
 
 var errAnswerTooLarge = fmt.Errorf("the answer is longer than %d bytes", maxAnswerBytes)
 
-// NewClient returns a client of the service at address. maxHold is the longest time for which the service is asked to hold
-// a watch while there is no change.
+// NewClient returns a client of the service at address. maxHold is the longest hold time of a watch.
 func NewClient(address string, maxHold time.Duration) *Client {
 	return &Client{
 		baseURL: "http://" + address + "/v1/servers", maxHold: maxHold,
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -38,7 +38,7 @@
 	require.Equal(t, listRecorder{"begin", fmt.Sprint("s-1", "h:1", "a", "m2", 3, logic.Draining, 1.5, 7000), "end"}, *recorder)
 }
 
-// followVersions follows the list of the fake service at address and returns the versions that it announces.
+// followVersions follows the list of the fake service at address and returns the versions that arrive.
 func followVersions(t *testing.T, address string, hold time.Duration) <-chan int64 {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -101,8 +101,8 @@
 	require.Less(t, time.Since(began), time.Second)
 }
 
-// Guards against an answer without an end that fills the memory. The limit was 64 MiB, for which the buffer grows to twice
-// as much, while a proxy may have 32 MiB.
+// Guards against an answer that never ends and fills the memory. The limit was once 64 MiB, for which the buffer grows to
+// twice as much, while a proxy may have 32 MiB.
 func TestAnswerSizeIsLimited(t *testing.T) {
 	var written atomic.Int64
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
