--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -23,9 +23,10 @@
 type Proxy interface {
 	// Metrics returns the last snapshot, or nil if there is none yet.
 	Metrics() *telemetry.Snapshot
-	// Evacuate makes the proxy start to send its clients away. It returns once the proxy has the order.
+	// Evacuate makes the proxy move its clients to other proxies while it keeps running. It returns once the proxy has
+	// begun.
 	Evacuate(ctx context.Context) error
-	// Rejoin makes the proxy take clients again.
+	// Rejoin ends an evacuation: the proxy serves again.
 	Rejoin(ctx context.Context) error
 }
 
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,7 +1,7 @@
-// Package control is the control API, through which operators and agents query an instance's status and give it orders. It
-// speaks HTTP and JSON on a Unix socket or a loopback address, and is off unless an address is configured. The server has
-// its own sockets and goroutines. It reaches the instance through the Instance interface; these calls are limited in number
-// and time, so that no caller can block the instance's event loop.
+// Package control is the control API, through which operators and agents query the status of an instance, a running proxy
+// process, and give it orders. It speaks HTTP and JSON on a Unix socket or a loopback address, and is off unless an address
+// is configured. The server has its own sockets and goroutines. It reaches the instance through the Instance interface;
+// these calls are limited in number and time, so that no caller can block the instance's event loop.
 package control
 
 import (
@@ -29,7 +29,7 @@
 // error that contains this number.
 const ProtocolVersion = 1
 
-// Status is the status of an instance. StartedMicros and NowMicros are Unix times in microseconds.
+// Status is what an instance reports about itself. StartedMicros and NowMicros are Unix times in microseconds.
 type Status struct {
 	ProtocolVersion int            `json:"control"`
 	Name            string         `json:"name"`
@@ -44,9 +44,9 @@
 	ListVersion     int64          `json:"list"`     // version of the server list; -1 if there is none
 	ListAgeMicros   int64          `json:"list_age"` // time since the list was last received; -1 if it never was
 	Clients         int            `json:"clients"`
-	Standing        int            `json:"standing"`
-	Sockets         int            `json:"sockets"`
-	Term            uint64         `json:"term"` // highest term of an author of orders that was received
+	Standing        int            `json:"standing"` // connections established to servers
+	Sockets         int            `json:"sockets"`  // sockets that are open
+	Term            uint64         `json:"term"`     // highest author's term of the valid orders received
 	Orders          []HeldOrder    `json:"orders"`
 	Servers         []ServerStatus `json:"servers"`
 
@@ -59,8 +59,8 @@
 	State string `json:"state"`
 }
 
-// ServerStatus is a server's status as an instance sees it. Listed is the state without orders; Ordered says whether an
-// order changes it.
+// ServerStatus is a server's status as an instance sees it. State is the state in effect and Listed the one in the server
+// list; Ordered says whether an order changes it.
 type ServerStatus struct {
 	UID              string  `json:"uid"`
 	Endpoint         string  `json:"endpoint"`
@@ -68,13 +68,13 @@
 	State            string  `json:"state"`
 	Listed           string  `json:"listed"`
 	Ordered          bool    `json:"ordered"`
-	Standing         int     `json:"standing"`
-	Pending          int     `json:"pending"`
-	Failures         float64 `json:"failures"`
+	Standing         int     `json:"standing"`              // connections established through this instance
+	Pending          int     `json:"pending"`               // dispatches without an outcome
+	Failures         float64 `json:"failures"`              // share of the dispatches that failed
 	PassedOverReason string  `json:"passed_over,omitempty"` // why the server gets nothing new; empty if it does
-	Pace             float64 `json:"pace"`
-	ProbeMicros      int64   `json:"probe_us"`
-	Cold             bool    `json:"cold"`
+	Pace             float64 `json:"pace"`                  // observed speed relative to the server's weight
+	ProbeMicros      int64   `json:"probe_us"`              // time that the last answer to a probe took; 0 if none
+	Cold             bool    `json:"cold"`                  // the server is still warming up
 }
 
 // Instance is what the control API needs of an instance. Its methods are called from any goroutine and return when their
--- a/internal/listen/filelistener.go
+++ b/internal/listen/filelistener.go
@@ -12,8 +12,8 @@
 )
 
 // FileListener is a listener that returns file descriptors. The runtime's own Accept registers the connection with its
-// poller, and closes the connection if that fails; the descriptors of a FileListener are not registered, so that the caller
-// can retry.
+// poller, and closes the connection if that fails. The descriptors of a FileListener are not registered yet: the caller does
+// that and can retry it.
 type FileListener struct {
 	file    *os.File
 	rawConn syscall.RawConn
@@ -21,8 +21,8 @@
 	acceptRetrier
 }
 
-// NewFileListener takes over a listener. If it fails, because the descriptor cannot be duplicated, the listener still belongs
-// to the caller.
+// NewFileListener takes over a listener. If it fails, as it does when the descriptor cannot be duplicated at the moment, the
+// listener still belongs to the caller.
 func NewFileListener(listener *net.TCPListener, log *slog.Logger) (*FileListener, error) {
 	file, err := listener.File()
 	if err != nil {
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -31,7 +31,7 @@
 	ConfigsLoaded, ConfigsInvalid uint64 // configurations that were applied, and that were rejected
 	AcceptRetries                 uint64 // accept calls that failed and were repeated
 	RegisterRetries               uint64 // connections whose registration with the event loop failed at first
-	DialRetries                   uint64 // dials repeated because this machine was short of a resource
+	DialRetries                   uint64 // dials that were repeated because this machine was short of a resource
 
 	refused, retried, closed, violations countsByLabel
 }
@@ -109,7 +109,7 @@
 // metricPrefix begins the name of each metric.
 const metricPrefix = "edge_router_"
 
-// labelEscaper escapes label values, which would otherwise break the line, such as a class's name with a quote in it.
+// labelEscaper escapes label values: a class's name with a quote or a line break in it, for example, would break the line.
 var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
 // Text returns the metrics in Prometheus' text format.
