--- a/conf/conf.go
+++ b/conf/conf.go
@@ -95,21 +95,21 @@
 		Number     int      `toml:"number"` // index of this proxy, below Of
 		Of         int      `toml:"of"`     // number of proxies that share the pool
 		Zones      []string `toml:"zones"`
-		Zone       string   `toml:"zone"`
+		Zone       string   `toml:"zone"` // the zone of this proxy, one of Zones
 		Models     []string `toml:"models"`
-		Weights    string   `toml:"weights"`
-		Dispatches int      `toml:"dispatches"`
-		Connect    Span     `toml:"connect"`
-		Probes     bool     `toml:"probes"`
+		Weights    string   `toml:"weights"`    // what the list's weights are: one of weightKinds
+		Dispatches int      `toml:"dispatches"` // attempts of a request at most
+		Connect    Span     `toml:"connect"`    // how long connecting to a server may take
+		Probes     bool     `toml:"probes"`     // whether servers may be probed
 		Rules      struct {
-			AskWithin Span    `toml:"ask-within"`
-			Grace     Span    `toml:"grace"`
-			Start     float64 `toml:"start"`
-			Warm      Span    `toml:"warm"`
-			Multiple  float64 `toml:"multiple"`
-			Window    Span    `toml:"window"`
+			AskWithin Span    `toml:"ask-within"` // the longest time between two requests for the server list
+			Grace     Span    `toml:"grace"`      // how long new requests may go to a server after its drain counts as delivered
+			Start     float64 `toml:"start"`      // share of its capacity that a server has when it starts
+			Warm      Span    `toml:"warm"`       // time after which it has all of its capacity
+			Multiple  float64 `toml:"multiple"`   // a server fails if it gets this many times its current capacity
+			Window    Span    `toml:"window"`     // for this long
 		} `toml:"rules"`
-		Prices struct {
+		Prices struct { // fractions of an attachment's gain
 			CrossZone float64 `toml:"cross-zone"`
 			Moves     float64 `toml:"moves"`
 		} `toml:"prices"`
@@ -120,27 +120,27 @@
 	positions tomlfile.Positions
 }
 
-// Product is a product that the pool's servers offer.
+// Product is a product that the pool's servers offer, a class of requests.
 type Product struct {
 	Name    string  `toml:"name"`
-	Repeat  string  `toml:"repeat"`
-	Reach   string  `toml:"reach,omitempty"`
-	Window  Span    `toml:"window"`
-	Quoted  Span    `toml:"quoted"`
-	Limit   Span    `toml:"limit"`
-	Message Span    `toml:"message"`
-	Gain    float64 `toml:"gain"`
+	Repeat  string  `toml:"repeat"`          // whether a request may be repeated: harmless, stamped or one-shot
+	Reach   string  `toml:"reach,omitempty"` // servers that recognize a stamp: all (also if empty), zone or group
+	Window  Span    `toml:"window"`          // how long a stamp is remembered
+	Quoted  Span    `toml:"quoted"`          // quoted time of a request
+	Limit   Span    `toml:"limit"`           // hard limit of a request
+	Message Span    `toml:"message"`         // quoted time of a message on an established connection; 0 if none
+	Gain    float64 `toml:"gain"`            // 0 stands for 1
 }
 
-// Limits limit what a listener accepts; 0 means no limit.
+// Limits limit what a listener accepts; 0 means no limit, but LongestWait must be above 0 if any limit is set.
 type Limits struct {
 	SetUps        float64 `toml:"set-ups"` // per second
 	Burst         float64 `toml:"burst"`
 	Standing      int     `toml:"standing"`        // established connections, shared between tenants
 	AddressSetUps float64 `toml:"address-set-ups"` // per second and client address
 	AddressBurst  float64 `toml:"address-burst"`
-	RetryShare    float64 `toml:"retry-share"`
-	LongestWait   Span    `toml:"longest-wait"`
+	RetryShare    float64 `toml:"retry-share"`  // retries per first try
+	LongestWait   Span    `toml:"longest-wait"` // the longest time after which a refused client is told to come back
 }
 
 // HasAny reports whether any limit is set.
@@ -195,7 +195,8 @@
 }
 
 var (
-	// platformIdempotency and platformGroup map the values of "repeat" and "reach" to those in the platform's JSON.
+	// platformIdempotency and platformGroup map the values of "repeat" and "reach" to those of "idempotency" and "group" in
+	// the platform's JSON.
 	platformIdempotency = map[string]string{"harmless": "repeatable", "stamped": "by_key", "one-shot": "once"}
 	platformGroup       = map[string]string{"": "all", "all": "all", "zone": "zone", "group": "cell"}
 	// weightKinds are the values of "weights".
