--- a/cmd/hatchproxy/faults_test.go
+++ b/cmd/hatchproxy/faults_test.go
@@ -50,7 +50,7 @@
 
 // launchOptions are the options with which a proxy process is started.
 type launchOptions struct {
-	serverAnswer string // answer of the server to each request
+	serverAnswer string // the server's answer to each request
 	faultGroups  []sysfault.CallGroup
 	faults       []sysfault.Fault // in effect from the first system call on
 	adminAddress string           // none if empty
@@ -267,8 +267,8 @@
 	}
 }
 
-// Reading the configuration must be retried after transient failures: the list of the new discovery service has to take effect
-// soon after SIGHUP, even if the file could not be read at first.
+// Reading the configuration must be retried after transient failures: the list of a new discovery service counts as delivered
+// soon after SIGHUP, whether or not the file could be read.
 func TestReadingTheConfigurationIsRetried(t *testing.T) {
 	for _, errno := range sysfault.TransientErrors[sysfault.Open] {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
--- a/cmd/hatchproxy/main.go
+++ b/cmd/hatchproxy/main.go
@@ -187,8 +187,8 @@
 		// The rest is for memory that the garbage collector does not manage: thread stacks, kernel buffers, the binary.
 		debug.SetMemoryLimit(memory / 10 * 8)
 	}
-	// The event loop occupies one while it waits for sockets. With a single one, dials, timers and the server list would wait
-	// until the runtime notices that the loop is blocked.
+	// One is for the event loop, which occupies it while it waits for sockets, and one for dials, timers and the server list:
+	// with a single one, these would wait until the runtime notices that the loop is blocked.
 	runtime.GOMAXPROCS(max(2, int(math.Ceil(cores))))
 
 	listenAddress, _ := config.Addresses()
--- a/cmd/hatchproxy/main_test.go
+++ b/cmd/hatchproxy/main_test.go
@@ -15,7 +15,7 @@
 	"hatchproxy/lab/fleet"
 )
 
-// configTemplate is a configuration with places for the listen and discovery addresses.
+// configTemplate is a configuration with placeholders for the listen address and the discovery address.
 const configTemplate = `{"name":"n0","listen":"%s","discovery":"%s","seed":"7","limits":{"cores":1.0,"memory_mb":64,"sockets":256},
 "known":{"rev":900,"all":true,"targets":[]},"settings":{"localities":["a"],"models":["m"],"membership-mode":"subscribe","limits":{"max-dispatches":3},
 "products":[{"name":"chat","idempotency":"repeatable","hard-limit-ms":300.0}]}}`
