--- a/conf/conf.go
+++ b/conf/conf.go
@@ -106,7 +106,7 @@
 			Grace     Span    `toml:"grace"`      // how long new requests may go to a server after its drain counts as delivered
 			Start     float64 `toml:"start"`      // share of its capacity that a server has when it starts
 			Warm      Span    `toml:"warm"`       // time after which it has all of its capacity
-			Multiple  float64 `toml:"multiple"`   // a server fails if it gets this many times its current capacity
+			Multiple  float64 `toml:"multiple"`   // a server fails if it gets more than this many times its current capacity
 			Window    Span    `toml:"window"`     // for this long
 		} `toml:"rules"`
 		Prices struct { // fractions of an attachment's gain
