--- a/agent/clusterstate/state.go
+++ b/agent/clusterstate/state.go
@@ -30,13 +30,13 @@
 // Command is a command of an operator or an agent. Its author chooses the ID; a command that is submitted again with the same ID is
 // applied once.
 type Command struct {
-	ID          string       `json:"id"`
-	Verb        Verb         `json:"verb"`
-	Server      string       `json:"server,omitempty"`    // for drain and undrain
-	Instances   []string     `json:"instances,omitempty"` // for start, stop, restart and roll
-	ExpiresAt   logic.Micros `json:"until,omitempty"`     // when an order ends, in Unix time; 0 for never
-	ServerStart logic.Micros `json:"launch,omitempty"`    // as in orders.Order
-	IssuedAt    logic.Micros `json:"said"`                // Unix time at which the command was issued
+	ID               string       `json:"id"`
+	Verb             Verb         `json:"verb"`
+	Server           string       `json:"server,omitempty"`    // for drain and undrain
+	Instances        []string     `json:"instances,omitempty"` // for start, stop, restart and roll
+	ExpiresAt        logic.Micros `json:"until,omitempty"`     // when an order ends, in Unix time; 0 for never
+	ServerLaunchedAt logic.Micros `json:"launch,omitempty"`    // as in orders.Order
+	IssuedAt         logic.Micros `json:"said"`                // Unix time at which the command was issued
 
 	Duty             string  `json:"duty,omitempty"`   // the duty that the command is about, or under which an agent issued it
 	Token            uint64  `json:"token,omitempty"`  // the token that the author of the command holds, or that a grant replaces
@@ -187,7 +187,7 @@
 func (s *State) OrdersForTerm(term uint64) []orders.Order {
 	list := make([]orders.Order, 0, len(s.Orders))
 	for _, e := range s.Orders {
-		list = append(list, orders.Order{ID: e.ID, Term: term, Number: e.Number, Verb: orders.Verb(e.Verb), ServerUID: e.Server, ExpiresAt: e.ExpiresAt, ServerStart: e.ServerStart})
+		list = append(list, orders.Order{ID: e.ID, Term: term, Number: e.Number, Verb: orders.Verb(e.Verb), ServerUID: e.Server, ExpiresAt: e.ExpiresAt, ServerLaunchedAt: e.ServerLaunchedAt})
 	}
 	slices.SortFunc(list, func(a, b orders.Order) int { return cmp.Compare(a.Number, b.Number) })
 	return list
--- a/cmd/hatchctl/cli.go
+++ b/cmd/hatchctl/cli.go
@@ -281,7 +281,7 @@
 	for _, i := range v.Instances {
 		standing, list, orders, config, up := "-", "-", "-", "-", "-"
 		if s := i.Status; s != nil {
-			standing, list, orders, config = fmt.Sprint(s.Standing), fmt.Sprintf("%d, %s old", s.ListVersion, formatAge(s.ListAgeMicros)), fmt.Sprint(len(s.Orders)), s.ConfigHash
+			standing, list, orders, config = fmt.Sprint(s.EstablishedConnections), fmt.Sprintf("%d, %s old", s.ListVersion, formatAge(s.ListAgeMicros)), fmt.Sprint(len(s.Orders)), s.ConfigHash
 			up = formatAge(s.NowMicros - s.StartedMicros)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", i.Name, i.Agent, i.State, i.MemberState, standing, list, orders, config, up)
@@ -294,7 +294,7 @@
 	}
 	fmt.Fprintln(w, "\nSERVER\tZONE\tSTATE\tLIST\tSTANDING\tPENDING\tFAILURES\tPROBE\tPASSED OVER")
 	for _, s := range v.Instances[0].Status.Servers {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%.2f\t%.1f ms\t%s\n", s.UID, s.Zone, s.State, s.Listed, s.Standing, s.Pending, s.Failures, float64(s.ProbeMicros)/1000, s.PassedOverReason)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%.2f\t%.1f ms\t%s\n", s.UID, s.Zone, s.State, s.Listed, s.EstablishedConnections, s.Pending, s.FailureShare, float64(s.ProbeMicros)/1000, s.PassedOverReason)
 	}
 }
 
--- a/cmd/hatchproxy/main.go
+++ b/cmd/hatchproxy/main.go
@@ -221,7 +221,7 @@
 	if err != nil {
 		return err
 	}
-	instance.Initialize(proxy.Info{Name: config.Name(), Version: version(), ConfigChecksum: config.Hash(), LogLevel: &logLevel}, initialOrders)
+	instance.Initialize(proxy.Info{Name: config.Name(), Version: version(), ConfigHash: config.Hash(), LogLevel: &logLevel}, initialOrders)
 	if config.ServersReportDelay() {
 		instance.ExpectDelays()
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -31,24 +31,24 @@
 
 // Status is what an instance reports about itself. StartedMicros and NowMicros are Unix times in microseconds.
 type Status struct {
-	ProtocolVersion int            `json:"control"`
-	Name            string         `json:"name"`
-	Version         string         `json:"version"`
-	PID             int            `json:"pid"`
-	StartedMicros   int64          `json:"started"`
-	NowMicros       int64          `json:"now"`
-	ConfigHash      string         `json:"config"`
-	ListenAddress   string         `json:"listen"`
-	Ready           bool           `json:"ready"`
-	Leaving         bool           `json:"leaving"`
-	ListVersion     int64          `json:"list"`     // version of the server list; -1 if there is none
-	ListAgeMicros   int64          `json:"list_age"` // time since the list was last received; -1 if it never was
-	Clients         int            `json:"clients"`
-	Standing        int            `json:"standing"` // connections established to servers
-	Sockets         int            `json:"sockets"`  // sockets that are open
-	Term            uint64         `json:"term"`     // highest author's term of the valid orders received
-	Orders          []HeldOrder    `json:"orders"`
-	Servers         []ServerStatus `json:"servers"`
+	ProtocolVersion        int            `json:"control"`
+	Name                   string         `json:"name"`
+	Version                string         `json:"version"`
+	PID                    int            `json:"pid"`
+	StartedMicros          int64          `json:"started"`
+	NowMicros              int64          `json:"now"`
+	ConfigHash             string         `json:"config"`
+	ListenAddress          string         `json:"listen"`
+	Ready                  bool           `json:"ready"`
+	Leaving                bool           `json:"leaving"`
+	ListVersion            int64          `json:"list"`     // version of the server list; -1 if there is none
+	ListAgeMicros          int64          `json:"list_age"` // time since the list was last received; -1 if it never was
+	Clients                int            `json:"clients"`
+	EstablishedConnections int            `json:"standing"` // connections established to servers
+	Sockets                int            `json:"sockets"`  // sockets that are open
+	Term                   uint64         `json:"term"`     // highest author's term of the valid orders received
+	Orders                 []HeldOrder    `json:"orders"`
+	Servers                []ServerStatus `json:"servers"`
 
 	RefusedByLimit map[string]uint64 `json:"limits,omitempty"` // clients refused since the start, by limit
 }
@@ -62,19 +62,19 @@
 // ServerStatus is a server's status as an instance sees it. State is the state in effect and Listed the one in the server
 // list; Ordered says whether an order changes it.
 type ServerStatus struct {
-	UID              string  `json:"uid"`
-	Endpoint         string  `json:"endpoint"`
-	Zone             string  `json:"zone"`
-	State            string  `json:"state"`
-	Listed           string  `json:"listed"`
-	Ordered          bool    `json:"ordered"`
-	Standing         int     `json:"standing"`              // connections established through this instance
-	Pending          int     `json:"pending"`               // dispatches without an outcome
-	Failures         float64 `json:"failures"`              // share of the dispatches that failed
-	PassedOverReason string  `json:"passed_over,omitempty"` // why the server gets nothing new; empty if it does
-	Pace             float64 `json:"pace"`                  // observed speed relative to the server's weight
-	ProbeMicros      int64   `json:"probe_us"`              // time that the last answer to a probe took; 0 if none
-	Cold             bool    `json:"cold"`                  // the server is still warming up
+	UID                    string  `json:"uid"`
+	Endpoint               string  `json:"endpoint"`
+	Zone                   string  `json:"zone"`
+	State                  string  `json:"state"`
+	Listed                 string  `json:"listed"`
+	Ordered                bool    `json:"ordered"`
+	EstablishedConnections int     `json:"standing"`              // connections established through this instance
+	Pending                int     `json:"pending"`               // dispatches without an outcome
+	FailureShare           float64 `json:"failures"`              // share of the dispatches that failed
+	PassedOverReason       string  `json:"passed_over,omitempty"` // why the server gets nothing new; empty if it does
+	SpeedFactor            float64 `json:"pace"`                  // observed speed relative to the server's weight
+	ProbeMicros            int64   `json:"probe_us"`              // time that the last answer to a probe took; 0 if none
+	Cold                   bool    `json:"cold"`                  // the server is still warming up
 }
 
 // Instance is what the control API needs of an instance. Its methods are called from any goroutine and return when their
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -175,9 +175,9 @@
 // End ends a request whose client has left, or whose established connection has ended.
 func (r *Request) End() { r.state = Ended }
 
-// Close only checks: it returns the violation that it would be if the proxy closed the client's connection now, or nil. It
+// CheckClose only checks: it returns the violation that it would be if the proxy closed the client's connection now, or nil. It
 // changes no state.
-func (r *Request) Close() error {
+func (r *Request) CheckClose() error {
 	switch r.state {
 	case Reading:
 		if r.partialLine {
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -46,7 +46,7 @@
 	sendAttempt(t, r)
 	require.NoError(t, r.Establish())
 	requireViolation(t, lifecycle.OneAnswer, r.Answer(lifecycle.Failed))
-	require.NoError(t, r.Close())
+	require.NoError(t, r.CheckClose())
 	r.End()
 	require.True(t, r.WasEstablished())
 	requireViolation(t, lifecycle.OneAnswer, r.Answer(lifecycle.Refused))
@@ -96,15 +96,15 @@
 
 func TestRequestThatWasReadIsNotClosedWithoutAnswer(t *testing.T) {
 	r := &lifecycle.Request{}
-	require.NoError(t, r.Close(), "nothing has been read")
+	require.NoError(t, r.CheckClose(), "nothing has been read")
 	r.SetPartialLine(true)
-	requireViolation(t, lifecycle.NoSilentClose, r.Close())
+	requireViolation(t, lifecycle.NoSilentClose, r.CheckClose())
 	require.NoError(t, r.Accept(logic.Harmless, deadline))
-	requireViolation(t, lifecycle.NoSilentClose, r.Close())
+	requireViolation(t, lifecycle.NoSilentClose, r.CheckClose())
 	require.NoError(t, r.StartAttempt(1))
-	requireViolation(t, lifecycle.NoSilentClose, r.Close())
+	requireViolation(t, lifecycle.NoSilentClose, r.CheckClose())
 	require.NoError(t, r.Answer(lifecycle.Failed))
-	require.NoError(t, r.Close())
+	require.NoError(t, r.CheckClose())
 }
 
 // Tries all sequences of six calls: there must be at most one answer, and no attempt of a one-shot request after one that
--- a/internal/platformconfig/settings.go
+++ b/internal/platformconfig/settings.go
@@ -154,9 +154,9 @@
 	return balancer, nil
 }
 
-// LoadRatioIndex returns the index, among the fields of the load reports that answer probes, of the ratio of a server's
+// UtilizationIndex returns the index, among the fields of the load reports that answer probes, of the ratio of a server's
 // load to its capacity. It is -1 if the servers do not report it.
-func (s Settings) LoadRatioIndex() int {
+func (s Settings) UtilizationIndex() int {
 	if s["limits.probes"] != "true" || s["report.how"] == "off" {
 		return -1
 	}
--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -15,8 +15,8 @@
 
 // Info is what the proxy reports in its status that does not come from serving.
 type Info struct {
-	Name, Version, ConfigChecksum string
-	LogLevel                      *slog.LevelVar
+	Name, Version, ConfigHash string
+	LogLevel                  *slog.LevelVar
 }
 
 // Initialize sets what the proxy reports about itself and applies the stored orders. It must be called before Run.
@@ -139,7 +139,7 @@
 	now := p.now()
 	st := control.Status{
 		ProtocolVersion: control.ProtocolVersion, Name: p.info.Name, Version: p.info.Version, PID: os.Getpid(), StartedMicros: int64(p.startMicros),
-		NowMicros: int64(now), ConfigHash: p.info.ConfigChecksum, ListenAddress: p.listenAddr, Ready: p.ready, Leaving: p.mode == leaving, ListVersion: p.listVersion,
+		NowMicros: int64(now), ConfigHash: p.info.ConfigHash, ListenAddress: p.listenAddr, Ready: p.ready, Leaving: p.mode == leaving, ListVersion: p.listVersion,
 		ListAgeMicros: -1, Clients: len(p.clients), Sockets: p.openSockets, Term: p.orders.Term(), Orders: []control.HeldOrder{}, Servers: []control.ServerStatus{},
 	}
 	if p.listReceivedAt > 0 {
@@ -167,7 +167,7 @@
 		}
 		state, ordered := p.orders.State(now, id)
 		reported := control.ServerStatus{UID: s.uid, Endpoint: s.endpoint, Zone: zones[s.zone], State: orders.StateName(state), Listed: orders.StateName(state),
-			Ordered: ordered, Standing: status.Connections, Pending: status.Pending, Failures: status.FailureShare, Pace: status.SpeedFactor,
+			Ordered: ordered, EstablishedConnections: status.Connections, Pending: status.Pending, FailureShare: status.FailureShare, SpeedFactor: status.SpeedFactor,
 			ProbeMicros: int64(status.LastProbe), Cold: status.Cold}
 		if ordered {
 			reported.Listed = orders.StateName(logic.Ready) // orders only apply to servers that are ready by the list
@@ -182,7 +182,7 @@
 		case status.Late:
 			reported.PassedOverReason = "messages are late: who comes again is not sent there"
 		}
-		st.Standing += status.Connections
+		st.EstablishedConnections += status.Connections
 		st.Servers = append(st.Servers, reported)
 	}
 	return st
--- a/internal/proxy/control_test.go
+++ b/internal/proxy/control_test.go
@@ -81,7 +81,7 @@
 		require.Equal(t, x.UID == "s0", x.Ordered)
 		if x.UID == "s0" {
 			require.Equal(t, []string{"draining", "ready", "draining"}, []string{x.State, x.Listed, x.PassedOverReason})
-			require.Zero(t, x.Standing)
+			require.Zero(t, x.EstablishedConnections)
 		}
 	}
 	undrain := drainOrder(1, 2, "s0")
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -218,7 +218,7 @@
 		p.reportViolation(nil, &lifecycle.Violation{Rule: lifecycle.EndOnlyWhenTold, Detail: "the process ends"})
 	}
 	for _, c := range p.clients {
-		if c.request.Close() != nil {
+		if c.request.CheckClose() != nil {
 			p.reportViolation(c, &lifecycle.Violation{Rule: lifecycle.NothingLeftAtEnd, State: c.request.State(), Detail: "the process ends"})
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -178,7 +178,7 @@
 	if err != nil {
 		return fmt.Errorf("opening instance %d: %w", s.selected, err)
 	}
-	if s.utilizationIndex[s.selected] = settings.LoadRatioIndex(); s.utilizationIndex[s.selected] >= 0 {
+	if s.utilizationIndex[s.selected] = settings.UtilizationIndex(); s.utilizationIndex[s.selected] >= 0 {
 		balancer.EnableUtilizationProbes()
 	}
 	s.instance = s.host.Open(s.selected, balancer)
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -22,14 +22,14 @@
 // their author and by their number: a number belongs to one order, and a higher number is newer; an author with a higher
 // term has replaced those of all lower ones.
 type Order struct {
-	ID          string         `json:"id"`
-	Term        uint64         `json:"term"` // of the author
-	Number      uint64         `json:"number"`
-	Verb        Verb           `json:"verb"`
-	ServerUID   string         `json:"server"`           // as in the server list
-	ExpiresAt   logic.Micros   `json:"until,omitempty"`  // Unix time in microseconds at which the order expires; 0 for never
-	ServerStart logic.Micros   `json:"launch,omitempty"` // the start time of the server process that the order is for, as in the server list; 0 for any
-	ServerID    logic.ServerID `json:"-"`                // derived from ServerUID by the reader of the order
+	ID               string         `json:"id"`
+	Term             uint64         `json:"term"` // of the author
+	Number           uint64         `json:"number"`
+	Verb             Verb           `json:"verb"`
+	ServerUID        string         `json:"server"`           // as in the server list
+	ExpiresAt        logic.Micros   `json:"until,omitempty"`  // Unix time in microseconds at which the order expires; 0 for never
+	ServerLaunchedAt logic.Micros   `json:"launch,omitempty"` // the start time of the server process that the order is for, as in the server list; 0 for any
+	ServerID         logic.ServerID `json:"-"`                // derived from ServerUID by the reader of the order
 }
 
 // Verdict is the result of applying an order.
@@ -134,7 +134,7 @@
 // orderInForce reports whether the newest order still applies: it has not expired, and it is not for an earlier process.
 func (s *serverEntry) orderInForce(now logic.Micros) bool {
 	o := s.order
-	return o != nil && (o.ExpiresAt == 0 || now < o.ExpiresAt) && (o.ServerStart == 0 || !s.everListed || o.ServerStart == s.launchedAt)
+	return o != nil && (o.ExpiresAt == 0 || now < o.ExpiresAt) && (o.ServerLaunchedAt == 0 || !s.everListed || o.ServerLaunchedAt == s.launchedAt)
 }
 
 // Apply applies an order. It reports whether the effective state of the server has changed, so that the balancer must be
@@ -182,7 +182,7 @@
 		ans.Verdict, ans.Reason = Unknown, "no list has named this server; the order counts when one does"
 	case o.Verb == Undrain && after != logic.Ready:
 		ans.Reason = "the list itself says so"
-	case o.Verb == Drain && o.ServerStart != 0 && !s.orderInForce(now):
+	case o.Verb == Drain && o.ServerLaunchedAt != 0 && !s.orderInForce(now):
 		ans.Reason = "the server has been started anew since"
 	}
 	return ans, before != after
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -90,7 +90,7 @@
 	r.UpdateServer(now, server, logic.Gone, 5)
 	require.Equal(t, logic.Draining, r.UpdateServer(now, server, logic.Ready, 9))
 	oneProcess := newOrder(1, 2, orders.Drain)
-	oneProcess.ServerStart = 9
+	oneProcess.ServerLaunchedAt = 9
 	requireVerdict(t, r, oneProcess, orders.Obeyed, false)
 	requireState(t, r, logic.Draining)
 	require.Equal(t, logic.Ready, r.UpdateServer(now, server, logic.Ready, 11))
