--- a/cmd/hatchlab/soak.go
+++ b/cmd/hatchlab/soak.go
@@ -30,7 +30,7 @@
 type soakVerdict struct {
 	Seed         uint64             `json:"seed"`
 	Proxies      int                `json:"proxies"`
-	FaultKinds   []string           `json:"kinds"`
+	TroubleKinds []string           `json:"kinds"`
 	Passed       bool               `json:"held"`
 	Shortfalls   []string           `json:"shortfalls,omitempty"`
 	Breaches     []string           `json:"breaches,omitempty"`
@@ -163,7 +163,7 @@
 	if err != nil {
 		return nil, err
 	}
-	v := &soakVerdict{Seed: seed, Proxies: schedule.Experiment.Proxies.Count, FaultKinds: schedule.FaultKinds, Passed: len(result.Shortfalls) == 0,
+	v := &soakVerdict{Seed: seed, Proxies: schedule.Experiment.Proxies.Count, TroubleKinds: schedule.TroubleKinds, Passed: len(result.Shortfalls) == 0,
 		Shortfalls: result.Shortfalls, Breaches: result.Breaches, Crashes: result.Crashes, Figures: result.Figures}
 	if v.Passed {
 		return v, nil
@@ -201,7 +201,7 @@
 	f := v.Figures
 	text := fmt.Sprintf("seed %d: %s; %d proxies, %g requests (%g up, %g busy, %g failed, %g nothing), %g calls failed, served %.2f; %s",
 		v.Seed, result, v.Proxies, f["asks"], f["ups"], f["busy"], f["failed"], f["nothing"], f["calls-failed"], f["served"],
-		strings.Join(v.FaultKinds, " "))
+		strings.Join(v.TroubleKinds, " "))
 	for _, rule := range brokenRules(f) {
 		text += fmt.Sprintf("\n    %s %g", rule, f[rule])
 	}
--- a/lab/soak/play_test.go
+++ b/lab/soak/play_test.go
@@ -33,7 +33,7 @@
 			result, err := schedule.Experiment.Run(t.Context(), experiment.RunOptions{Seed: seed, Placement: experiment.PlacementProxies, ProxyBinary: binary, Dir: t.TempDir()})
 			require.NoError(t, err)
 			t.Logf("%d proxies, %g requests, %g calls failed; %s", schedule.Experiment.Proxies.Count, result.Figures["asks"],
-				result.Figures["calls-failed"], strings.Join(schedule.FaultKinds, " "))
+				result.Figures["calls-failed"], strings.Join(schedule.TroubleKinds, " "))
 			require.Empty(t, result.Shortfalls, "%s\n%s", strings.Join(result.Breaches, "\n"), strings.Join(result.Crashes, "\n"))
 		})
 	}
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -17,20 +17,20 @@
 type Size struct {
 	MinProxies, MaxProxies int           // both inclusive
 	LoadLength             time.Duration // how long clients send requests
-	FaultCount             int           // faults to draw; those that find no target left are omitted
+	TroubleCount           int           // troubles to draw; those that find no target left are omitted
 }
 
 // Full is the default of `hatchlab soak`; Short is the size that CI runs.
 var (
-	Full  = Size{MinProxies: 10, MaxProxies: 40, LoadLength: 14 * time.Second, FaultCount: 12}
-	Short = Size{MinProxies: 10, MaxProxies: 14, LoadLength: 9 * time.Second, FaultCount: 8}
+	Full  = Size{MinProxies: 10, MaxProxies: 40, LoadLength: 14 * time.Second, TroubleCount: 12}
+	Short = Size{MinProxies: 10, MaxProxies: 14, LoadLength: 9 * time.Second, TroubleCount: 8}
 )
 
 // requestsPerSecondPerProxy is the rate of requests for each proxy of a run.
 const requestsPerSecondPerProxy = 4
 
-// faultSpec is a kind of trouble with the ranges from which Generate draws its parameters.
-type faultSpec struct {
+// troubleSpec is a kind of trouble with the ranges from which Generate draws its parameters.
+type troubleSpec struct {
 	kind             string
 	minSize, maxSize float64 // range of the trouble's size; it has no size if maxSize is 0
 	maxShare         float64 // largest share of the proxies or servers that it affects; it affects at least one
@@ -39,8 +39,8 @@
 	isExclusive      bool    // it ends, stops or signals a process; a proxy gets at most one of these, so that they don't overlap
 }
 
-// faultSpecs are the kinds of trouble to draw from, each entry with the same probability.
-var faultSpecs = []faultSpec{
+// troubleSpecs are the kinds of trouble to draw from, each entry with the same probability.
+var troubleSpecs = []troubleSpec{
 	{kind: "calls-accept", minSize: 0.05, maxSize: 0.6, maxShare: 1},
 	{kind: "calls-socket", minSize: 0.02, maxSize: 0.4, maxShare: 1},
 	{kind: "calls-connect", minSize: 0.02, maxSize: 0.3, maxShare: 1},
@@ -73,27 +73,27 @@
 
 // Schedule is a generated run.
 type Schedule struct {
-	Seed       uint64
-	TOML       string           // the experiment file's text
-	FaultKinds []string         // sorted, without duplicates
-	Experiment *experiment.File // TOML, parsed
+	Seed         uint64
+	TOML         string           // the experiment file's text
+	TroubleKinds []string         // sorted, without duplicates
+	Experiment   *experiment.File // TOML, parsed
 }
 
 // Generate draws the schedule of a seed and a size; the same arguments always give the same schedule. It returns an error if
 // the experiment file that it wrote doesn't parse.
 func Generate(seed uint64, size Size) (*Schedule, error) {
-	g := &generator{random: rand.New(rand.NewPCG(seed, 0x50a1)), size: size, exclusiveTargets: map[int]bool{}}
-	g.proxyCount = size.MinProxies + g.random.IntN(size.MaxProxies-size.MinProxies+1)
-	g.serverCount = 6 + g.random.IntN(5)
+	g := &generator{rng: rand.New(rand.NewPCG(seed, 0x50a1)), size: size, exclusiveTargets: map[int]bool{}}
+	g.proxyCount = size.MinProxies + g.rng.IntN(size.MaxProxies-size.MinProxies+1)
+	g.serverCount = 6 + g.rng.IntN(5)
 	g.writeSetup(seed)
 	schedule := &Schedule{Seed: seed}
-	for range size.FaultCount {
-		if kind := g.writeTrouble(faultSpecs[g.random.IntN(len(faultSpecs))]); kind != "" {
-			schedule.FaultKinds = append(schedule.FaultKinds, kind)
+	for range size.TroubleCount {
+		if kind := g.writeTrouble(troubleSpecs[g.rng.IntN(len(troubleSpecs))]); kind != "" {
+			schedule.TroubleKinds = append(schedule.TroubleKinds, kind)
 		}
 	}
-	slices.Sort(schedule.FaultKinds)
-	schedule.FaultKinds = slices.Compact(schedule.FaultKinds)
+	slices.Sort(schedule.TroubleKinds)
+	schedule.TroubleKinds = slices.Compact(schedule.TroubleKinds)
 	schedule.TOML = g.toml.String()
 	file, err := experiment.Parse(fmt.Sprintf("soak-%d.toml", seed), []byte(schedule.TOML))
 	schedule.Experiment = file
@@ -102,11 +102,11 @@
 
 // generator draws a schedule and writes it as an experiment file.
 type generator struct {
-	random           *rand.Rand
+	rng              *rand.Rand
 	size             Size
 	proxyCount       int
 	serverCount      int
-	exclusiveTargets map[int]bool // proxies that already have an exclusive fault, by index
+	exclusiveTargets map[int]bool // proxies that already have an exclusive trouble, by index
 	toml             strings.Builder
 }
 
@@ -114,20 +114,20 @@
 
 // uniform draws a number between low and high.
 func (g *generator) uniform(low, high float64) float64 {
-	return low + (high-low)*g.random.Float64()
+	return low + (high-low)*g.rng.Float64()
 }
 
 // writeSetup writes all but the troubles: proxies, servers, products and load.
 func (g *generator) writeSetup(seed uint64) {
 	g.writeLine("name = \"soak-%d\"\nlength = %q\nseeds = [%d]", seed, g.size.LoadLength, seed)
-	g.writeLine("\n[proxies]\ncount = %d\nsockets = %d", g.proxyCount, []int{160, 256, 512}[g.random.IntN(3)])
+	g.writeLine("\n[proxies]\ncount = %d\nsockets = %d", g.proxyCount, []int{160, 256, 512}[g.rng.IntN(3)])
 	g.writeLine("\n[fleet]\nservers = %d\nzones = [\"a\", \"b\"]\nbetween = \"1ms\"\ncell-size = 2\nset-up = \"4ms\"\nload = \"20ms\"\nprobes = %t",
-		g.serverCount, g.random.IntN(2) == 0)
+		g.serverCount, g.rng.IntN(2) == 0)
 	g.writeLine("connections-per-core = 200\nqueue-per-core = 40\nnotice = \"300ms\"")
 	g.writeLine("\n[[fleet.kind]]\nname = \"m\"\nshare = 1.0\ncores = 3\nspeed = 1.5\nspread = 0.3")
 	g.writeProduct("watch", "harmless", "", 0.4)
 	g.writeProduct("book", "one-shot", "", 0.35)
-	g.writeProduct("note", "stamped", []string{"all", "zone", "group"}[g.random.IntN(3)], 0.25)
+	g.writeProduct("note", "stamped", []string{"all", "zone", "group"}[g.rng.IntN(3)], 0.25)
 	g.writeLine("\n[load]\nrate = %d.0\ngroups = 30\nretries = 2\nleave = 0.1\nrest = 0.15\nevery = \"500ms\"", g.proxyCount*requestsPerSecondPerProxy)
 }
 
@@ -139,49 +139,49 @@
 		name, repeat, reach, share, limit)
 }
 
-// writeTrouble draws time, length, size and targets of a fault and writes it. It returns the fault's kind, or "" if nothing was
+// writeTrouble draws time, length, size and targets of a trouble and writes it. It returns the trouble's kind, or "" if nothing was
 // written because no target is left.
-func (g *generator) writeTrouble(f faultSpec) string {
+func (g *generator) writeTrouble(spec troubleSpec) string {
 	start := time.Duration(g.uniform(0.2, g.size.LoadLength.Seconds()*0.7) * 1e9).Round(time.Millisecond)
 	length := time.Duration(g.uniform(0.5, g.size.LoadLength.Seconds()*0.35) * 1e9).Round(time.Millisecond)
-	if f.kind == "drop" || f.kind == "proxy-series" || f.kind == "way-reset" {
+	if spec.kind == "drop" || spec.kind == "proxy-series" || spec.kind == "way-reset" {
 		length = 100 * time.Millisecond
 	}
-	if f.kind == "proxy-stop" {
+	if spec.kind == "proxy-stop" {
 		length = time.Duration(g.uniform(100, 1500)) * time.Millisecond
 	}
-	text := fmt.Sprintf("\n[[trouble]]\nkind = %q\nat = %q\nfor = %q", f.kind, start, length)
-	if f.maxSize > 0 {
-		text += fmt.Sprintf("\nsize = %.3f", g.uniform(f.minSize, f.maxSize))
+	text := fmt.Sprintf("\n[[trouble]]\nkind = %q\nat = %q\nfor = %q", spec.kind, start, length)
+	if spec.maxSize > 0 {
+		text += fmt.Sprintf("\nsize = %.3f", g.uniform(spec.minSize, spec.maxSize))
 	}
-	if !f.targetsDiscovery {
-		targets := g.chooseTargets(f)
+	if !spec.targetsDiscovery {
+		targets := g.chooseTargets(spec)
 		if len(targets) == 0 {
 			return ""
 		}
 		text += "\nservers = " + strings.ReplaceAll(fmt.Sprint(targets), " ", ", ")
 	}
 	g.writeLine("%s", text)
-	return f.kind
+	return spec.kind
 }
 
-// chooseTargets draws the proxies or servers that a fault affects and returns their indices, sorted. The list is empty if the
-// fault is exclusive and every proxy has an exclusive fault already.
-func (g *generator) chooseTargets(f faultSpec) []int {
+// chooseTargets draws the proxies or servers that a trouble affects and returns their indices, sorted. The list is empty if the
+// trouble is exclusive and every proxy has an exclusive one already.
+func (g *generator) chooseTargets(spec troubleSpec) []int {
 	candidateCount := g.proxyCount
-	if f.targetsServers {
+	if spec.targetsServers {
 		candidateCount = g.serverCount
 	}
-	count := 1 + g.random.IntN(max(1, int(f.maxShare*float64(candidateCount))))
+	count := 1 + g.rng.IntN(max(1, int(spec.maxShare*float64(candidateCount))))
 	var targets []int
-	for _, index := range g.random.Perm(candidateCount) {
+	for _, index := range g.rng.Perm(candidateCount) {
 		if len(targets) == count {
 			break
 		}
-		if f.isExclusive && g.exclusiveTargets[index] {
+		if spec.isExclusive && g.exclusiveTargets[index] {
 			continue
 		}
-		if f.isExclusive {
+		if spec.isExclusive {
 			g.exclusiveTargets[index] = true
 		}
 		targets = append(targets, index)
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -20,8 +20,8 @@
 		require.Equal(t, first.TOML, again.TOML)
 		require.GreaterOrEqual(t, first.Experiment.Proxies.Count, soak.Full.MinProxies)
 		require.LessOrEqual(t, first.Experiment.Proxies.Count, soak.Full.MaxProxies)
-		require.NotEmpty(t, first.FaultKinds)
-		for _, kind := range first.FaultKinds {
+		require.NotEmpty(t, first.TroubleKinds)
+		for _, kind := range first.TroubleKinds {
 			kinds[kind] = true
 		}
 	}
