--- a/cmd/hatchlab/chaos.go
+++ b/cmd/hatchlab/chaos.go
@@ -31,11 +31,11 @@
 as long as it still fails; the seed, the shorter schedule and its record are written to a file. Run R of seed S is run 1 of
 seed S+R-1.`,
 		RunE: func(c *cobra.Command, args []string) error {
-			f, err := chaos.ReadSpec(args[0])
+			spec, err := chaos.ReadSpec(args[0])
 			if err != nil {
 				return err
 			}
-			return runChaos(c.Context(), c.OutOrStdout(), f, binary, outputFolder, seed, runs, max(1, parallel))
+			return runChaos(c.Context(), c.OutOrStdout(), spec, binary, outputFolder, seed, runs, max(1, parallel))
 		},
 	}
 	c.Flags().IntVar(&runs, "runs", 10, "number of schedules")
@@ -60,12 +60,12 @@
 				return err
 			}
 			defer os.RemoveAll(folder)
-			m, err := chaos.NewCluster([]string{binary, "serve", "--log-level", "warn"}, folder, chaos.ClusterConfig{AgentCount: agents, NonVoterCount: agents - voters, SiteCount: 1, Seed: 1})
+			cluster, err := chaos.NewCluster([]string{binary, "serve", "--log-level", "warn"}, folder, chaos.ClusterConfig{AgentCount: agents, NonVoterCount: agents - voters, SiteCount: 1, Seed: 1})
 			if err != nil {
 				return err
 			}
-			defer m.Close()
-			s, err := m.MeasureSpread(c.Context(), commands, 10*time.Second)
+			defer cluster.Close()
+			spread, err := cluster.MeasureSpread(c.Context(), commands, 10*time.Second)
 			if err != nil {
 				return err
 			}
@@ -73,7 +73,7 @@
 				return sorted[len(sorted)*percent/100].Round(100 * time.Microsecond)
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d agents, %d voters, %d commands: answered p50 %v, p99 %v; applied by all p50 %v, p99 %v; without commands %.0f bytes/s\n",
-				agents, voters, commands, percentile(s.AnswerTimes, 50), percentile(s.AnswerTimes, 99), percentile(s.ApplyTimes, 50), percentile(s.ApplyTimes, 99), s.IdleBytesPerSecond)
+				agents, voters, commands, percentile(spread.AnswerTimes, 50), percentile(spread.AnswerTimes, 99), percentile(spread.ApplyTimes, 50), percentile(spread.ApplyTimes, 99), spread.IdleBytesPerSecond)
 			return nil
 		},
 	}
@@ -86,20 +86,20 @@
 
 // runChaos runs the schedules of consecutive seeds, some of them in parallel, and prints what they came to. It returns
 // errChecksFailed if a schedule broke a rule, and the first error of a schedule that could not be run.
-func runChaos(ctx context.Context, out io.Writer, f *chaos.Spec, binary, outputFolder string, seed int64, runs, parallel int) error {
+func runChaos(ctx context.Context, out io.Writer, spec *chaos.Spec, binary, outputFolder string, seed int64, runs, parallel int) error {
 	runSchedule := func(seed int64, faults []chaos.Fault) (chaos.Record, []chaos.Breach, error) {
 		folder, err := os.MkdirTemp("", "hc")
 		if err != nil {
 			return chaos.Record{}, nil, err
 		}
 		defer os.RemoveAll(folder)
-		m, err := chaos.NewCluster([]string{binary, "serve", "--log-level", "warn"}, folder, f.ClusterConfig(seed))
+		cluster, err := chaos.NewCluster([]string{binary, "serve", "--log-level", "warn"}, folder, spec.ClusterConfig(seed))
 		if err != nil {
 			return chaos.Record{}, nil, err
 		}
-		defer m.Close()
-		r, err := m.RunSchedule(ctx, faults)
-		return r, chaos.FindBreaches(r, f.SettleBound()), err
+		defer cluster.Close()
+		r, err := cluster.RunSchedule(ctx, faults)
+		return r, chaos.FindBreaches(r, spec.SettleBound()), err
 	}
 	var mu sync.Mutex
 	var settled []time.Duration
@@ -110,7 +110,7 @@
 	for range parallel {
 		workers.Go(func() {
 			for s := range seeds {
-				schedule := f.Schedule(s)
+				schedule := spec.Schedule(s)
 				r, breaches, err := runSchedule(s, schedule)
 				if ctx.Err() != nil {
 					continue // interrupted: the record is incomplete and proves nothing
--- a/cmd/hatchlab/worth.go
+++ b/cmd/hatchlab/worth.go
@@ -11,11 +11,11 @@
 		Use: "worth FOLDER", Short: "Account for the clients' time in a run, from the debug logs (*.log) of all proxies in a folder",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			account, err := clienttime.ReadLogs(args[0])
+			summary, err := clienttime.ReadLogs(args[0])
 			if err != nil {
 				return err
 			}
-			return account.Write(c.OutOrStdout())
+			return summary.Write(c.OutOrStdout())
 		},
 	}
 }
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -77,7 +77,7 @@
 {{if .Table}}<table><tr>{{range .Head}}<th>{{.}}</th>{{end}}</tr>
 {{range .Table}}<tr>{{range .}}<td>{{.}}</td>{{end}}</tr>{{end}}</table>{{end}}
 {{range .Runs}}<h2>{{.Name}}</h2>
-{{if .Shortfalls}}<ul class="bad">{{range .Shortfalls}}<li>{{.}}</li>{{end}}</ul>{{else if .Judged}}<p class="good">All expectations were met.</p>{{end}}
+{{if .Shortfalls}}<ul class="bad">{{range .Shortfalls}}<li>{{.}}</li>{{end}}</ul>{{else if .Checked}}<p class="good">All expectations were met.</p>{{end}}
 {{range .Plots}}{{.}}{{end}}
 {{if .Breaches}}<h3>Broken rules</h3>{{range .Breaches}}<pre>{{.}}</pre>{{end}}{{end}}
 {{end}}</html>
@@ -92,7 +92,7 @@
 func WriteHTML(w io.Writer, title, about string, results []*experiment.Result, costs []*experiment.Cost) error {
 	type runSection struct {
 		Name                 string
-		Judged               bool // expectations were checked: only for runs through proxies
+		Checked              bool // expectations were checked: only for runs through proxies
 		Shortfalls, Breaches []string
 		Plots                []template.HTML
 	}
@@ -116,7 +116,7 @@
 		data.Table = append(data.Table, append([]string{fmt.Sprintf("cost at %d connections, proxy/bare relay=ratio", c.Connections)}, c.Summary()))
 	}
 	for _, r := range results {
-		section := runSection{Name: fmt.Sprintf("%s, seed %d, by %s %s", r.Experiment, r.Seed, r.Placement, r.Proxy), Judged: r.Placement == experiment.PlacementProxies,
+		section := runSection{Name: fmt.Sprintf("%s, seed %d, by %s %s", r.Experiment, r.Seed, r.Placement, r.Proxy), Checked: r.Placement == experiment.PlacementProxies,
 			Shortfalls: r.Shortfalls, Breaches: r.Breaches}
 		for _, draw := range []func(*experiment.Result) (*plot.Plot, error){servedPlot, latencyPlot, connectionsPlot} {
 			picture, err := draw(r)
