--- a/cmd/hatchlab/fleet.go
+++ b/cmd/hatchlab/fleet.go
@@ -24,16 +24,16 @@
 			if err != nil {
 				return err
 			}
-			servers, err := fleet.Start(ledger.NewEventLog(), f.Plan(), f.Seeds[0])
+			servers, err := fleet.Start(ledger.NewEventLog(), f.FleetConfig(), f.Seeds[0])
 			if err != nil {
 				return err
 			}
 			defer servers.Stop()
-			front, err := servers.StartDiscoveryAt(discovery)
+			discoveryServer, err := servers.StartDiscoveryAt(discovery)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d servers; discovery listens at %s\n", len(servers.Servers), front.Address())
+			fmt.Fprintf(c.OutOrStdout(), "%d servers; discovery listens at %s\n", len(servers.Servers), discoveryServer.Address())
 			<-c.Context().Done()
 			return nil
 		},
--- a/lab/experiment/agents.go
+++ b/lab/experiment/agents.go
@@ -34,12 +34,12 @@
 	breaches     int           // of the rules of agents and instances
 	record       chaos.Record  // what was seen of the agents; set by checkAgents
 
-	mu             sync.Mutex      // guards the fields below; orderLatency has its own lock
-	orderLatency   *load.Histogram // from the issue of an order until an instance received it
-	unheardOrders  int             // summed over instances
-	leftAfterDrain int             // most connections left at a server that was ordered to drain
-	failedRestarts int             // rolling restarts
-	hasRolled      bool            // a conducted rolling restart was played
+	mu                  sync.Mutex      // guards the fields below; orderLatency has its own lock
+	orderLatency        *load.Histogram // from the issue of an order until an instance received it
+	unreceivedOrders    int             // summed over instances
+	leftAfterDrain      int             // most connections left at a server that was ordered to drain
+	failedRestarts      int             // rolling restarts
+	hasConductedRestart bool            // a conducted rolling restart was played
 }
 
 // managedPID returns the id of the process that the instance's agent has recorded; 0 if there is none.
@@ -57,7 +57,7 @@
 
 // startAgents sets up the machines and their links, starts the agents and waits until all proxies are ready.
 func (r *run) startAgents(ctx context.Context) error {
-	a := &agents{instances: r.proxies, orderLatency: load.NewHistogram(), faultsDone: make(chan struct{}, len(r.steps)*r.Control.Agents)}
+	a := &agents{instances: r.proxies, orderLatency: load.NewHistogram(), faultsDone: make(chan struct{}, len(r.troubles)*r.Control.Agents)}
 	control := r.Control
 	configs := make([][]agent.InstanceConfig, control.Agents)
 	onMachine := make([][]*instance, control.Agents)
@@ -68,9 +68,9 @@
 		configs[machine] = append(configs[machine], agent.InstanceConfig{Name: fmt.Sprintf("n%d", proxy.number), Command: []string{proxy.binary, "serve", "--config", proxy.configPath()},
 			ControlAddress: "unix:" + filepath.Join(r.Dir, fmt.Sprintf("n%d.sock", proxy.number))})
 	}
-	recordStrike := func(machine int, strike chaos.InstanceEvent) {
+	recordInstanceEvent := func(machine int, event chaos.InstanceEvent) {
 		for _, proxy := range onMachine[machine] {
-			r.recordProxyEvent([...]ledger.Kind{ledger.ProxyKilled, ledger.ProxyPaused, ledger.ProxyResumed}[strike], proxy.number)
+			r.recordProxyEvent([...]ledger.Kind{ledger.ProxyKilled, ledger.ProxyPaused, ledger.ProxyResumed}[event], proxy.number)
 		}
 	}
 	recordCut := func(machine, zone int, cut bool) {
@@ -84,7 +84,7 @@
 	}
 	var err error
 	a.Cluster, err = chaos.NewCluster([]string{r.AgentBinary, "serve", "--log-level", "info"}, r.Dir, chaos.ClusterConfig{AgentCount: control.Agents, NonVoterCount: control.Agents - control.voterCount(), SiteCount: control.siteCount(),
-		Seed: int64(r.Seed), HasClockErrors: control.Clocks, Duties: control.Duties, InstanceConfigs: func(machine int) []agent.InstanceConfig { return configs[machine] }, OnInstanceEvent: recordStrike, OnServerLinkChange: recordCut})
+		Seed: int64(r.Seed), HasClockErrors: control.Clocks, Duties: control.Duties, InstanceConfigs: func(machine int) []agent.InstanceConfig { return configs[machine] }, OnInstanceEvent: recordInstanceEvent, OnServerLinkChange: recordCut})
 	if err != nil {
 		return err
 	}
@@ -188,29 +188,29 @@
 	return all
 }
 
-// applyToAgents begins or ends a step that concerns agents or machines. What takes time goes on in the background.
-func (r *run) applyToAgents(ctx context.Context, step fleet.ScheduledTrouble, ends bool) {
-	kind, isMachineFault := machineFault(step.Kind)
+// applyToAgents begins or ends a trouble that concerns agents or machines. What takes time goes on in the background.
+func (r *run) applyToAgents(ctx context.Context, trouble fleet.ScheduledTrouble, ends bool) {
+	kind, isMachineFault := machineFault(trouble.Kind)
 	switch {
 	case isMachineFault && !ends:
-		for _, n := range step.Targets {
-			fault := chaos.Fault{Kind: kind, Duration: step.Duration.Duration(), Target: n}
+		for _, n := range trouble.Targets {
+			fault := chaos.Fault{Kind: kind, Duration: trouble.Duration.Duration(), Target: n}
 			r.background.Go(func() {
 				r.recordError(r.agents.InjectFault(ctx, fault))
 				r.agents.faultsDone <- struct{}{}
 			})
 			if kind == chaos.SiteCrash {
-				r.background.Go(func() { r.stopSiteServers(ctx, n, step.Duration.Duration()) })
+				r.background.Go(func() { r.stopSiteServers(ctx, n, trouble.Duration.Duration()) })
 			}
 		}
-	case step.Kind == "order-drain":
-		for _, n := range step.Targets {
-			r.background.Go(func() { r.runDrainOrder(ctx, step, n, ends) })
+	case trouble.Kind == "order-drain":
+		for _, n := range trouble.Targets {
+			r.background.Go(func() { r.runDrainOrder(ctx, trouble, n, ends) })
 		}
-	case step.Kind == "roll" && !ends:
-		r.background.Go(func() { r.conductedRoll(ctx, step) })
-	case step.Kind == "rolling-restart" && !ends:
-		r.background.Go(func() { r.rollingRestart(ctx, step) })
+	case trouble.Kind == "roll" && !ends:
+		r.background.Go(func() { r.runConductedRestart(ctx, trouble) })
+	case trouble.Kind == "rolling-restart" && !ends:
+		r.background.Go(func() { r.runRollingRestart(ctx, trouble) })
 	}
 }
 
@@ -222,24 +222,24 @@
 
 // stopSiteServers stops the servers of a site that lost all its machines, and starts them again, cold, when the time is over.
 func (r *run) stopSiteServers(ctx context.Context, site int, duration time.Duration) {
-	step := fleet.ScheduledTrouble{Trouble: fleet.Trouble{Kind: "restart", Duration: ledger.FromDuration(duration)}}
+	trouble := fleet.ScheduledTrouble{Trouble: fleet.Trouble{Kind: "restart", Duration: ledger.FromDuration(duration)}}
 	for n := range r.fleet.Servers {
 		if n%len(r.File.Fleet.Zones) == site {
-			step.Targets = append(step.Targets, n)
+			trouble.Targets = append(trouble.Targets, n)
 		}
 	}
-	r.recordError(r.fleet.BeginTrouble(step))
+	r.recordError(r.fleet.BeginTrouble(trouble))
 	select {
 	case <-time.After(duration):
 	case <-ctx.Done():
 	}
-	r.recordError(r.fleet.EndTrouble(step))
+	r.recordError(r.fleet.EndTrouble(trouble))
 }
 
 // awaitSettled waits for the end of all faults of machines, and then until all agents have, and all instances act on, a new
 // command. The record keeps how long that took.
 func (r *run) awaitSettled(ctx context.Context) {
-	for _, s := range r.steps {
+	for _, s := range r.troubles {
 		if _, isMachineFault := machineFault(s.Kind); !isMachineFault || s.At >= r.length {
 			continue
 		}
@@ -275,19 +275,19 @@
 // orderTimeout is how long instances have to receive an order before it counts as not received.
 const orderTimeout = 10 * time.Second
 
-// runDrainOrder orders a server drained, or the order undone if the step ends, and records when each instance received it. After
-// an order to drain it also counts the connections that are left at the server.
-func (r *run) runDrainOrder(ctx context.Context, step fleet.ScheduledTrouble, server int, ends bool) {
+// runDrainOrder orders the agents to have a server drained, or to undo that if ends is set, and records when each instance received
+// the order. After an order to drain it also counts the connections that are left at the server.
+func (r *run) runDrainOrder(ctx context.Context, trouble fleet.ScheduledTrouble, server int, ends bool) {
 	action, state := clusterstate.Drain, int64(1)
 	if ends {
 		action, state = clusterstate.Undrain, 0
 	}
 	uid := r.fleet.Servers[server].UID
 	issuedAt := logic.Micros(time.Now().UnixMicro())
-	number, err := r.agents.submitCommand(ctx, clusterstate.Command{ID: fmt.Sprintf("%s-%d-%d-%d", action, step.ScriptIndex, server, r.Seed), Verb: action, Server: uid, IssuedAt: issuedAt})
+	number, err := r.agents.submitCommand(ctx, clusterstate.Command{ID: fmt.Sprintf("%s-%d-%d-%d", action, trouble.ScriptIndex, server, r.Seed), Verb: action, Server: uid, IssuedAt: issuedAt})
 	if err != nil {
 		r.agents.mu.Lock()
-		r.agents.unheardOrders += len(r.proxies)
+		r.agents.unreceivedOrders += len(r.proxies)
 		r.agents.mu.Unlock()
 		return
 	}
@@ -310,12 +310,12 @@
 		}
 	}
 	r.agents.mu.Lock()
-	r.agents.unheardOrders += len(r.proxies) - len(received)
+	r.agents.unreceivedOrders += len(r.proxies) - len(received)
 	r.agents.mu.Unlock()
 	if ends || ctx.Err() != nil {
 		return
 	}
-	wait := min(8*ledger.Second, step.Duration-200*ledger.Millisecond)
+	wait := min(8*ledger.Second, trouble.Duration-200*ledger.Millisecond)
 	select {
 	case <-time.After(wait.Duration() - time.Since(time.UnixMicro(int64(issuedAt)))):
 	case <-ctx.Done():
@@ -327,15 +327,15 @@
 	r.agents.mu.Unlock()
 }
 
-// rollingRestart restarts all proxies, a share at a time, and waits for each share to be ready again.
-func (r *run) rollingRestart(ctx context.Context, step fleet.ScheduledTrouble) {
+// runRollingRestart restarts all proxies, a share at a time, and waits for each share to be ready again.
+func (r *run) runRollingRestart(ctx context.Context, trouble fleet.ScheduledTrouble) {
 	var names []string
 	for _, proxy := range r.proxies {
 		names = append(names, fmt.Sprintf("n%d", proxy.number))
 	}
-	share := cmp.Or(step.Size, 0.2)
+	share := cmp.Or(trouble.Size, 0.2)
 	for batch := range slices.Chunk(names, max(1, int(share*float64(len(names))+1e-9))) {
-		number, err := r.agents.submitCommand(ctx, clusterstate.Command{ID: fmt.Sprintf("restart-%d-%s-%d", step.ScriptIndex, batch[0], r.Seed), Verb: clusterstate.Restart, Instances: batch})
+		number, err := r.agents.submitCommand(ctx, clusterstate.Command{ID: fmt.Sprintf("restart-%d-%s-%d", trouble.ScriptIndex, batch[0], r.Seed), Verb: clusterstate.Restart, Instances: batch})
 		if err == nil {
 			err = r.awaitRestart(ctx, batch, number)
 		}
@@ -350,18 +350,18 @@
 	r.logf("rolling restart: all %d proxies are ready again", len(names))
 }
 
-// conductedRoll has all proxies restarted by the agent that holds the conductor's duty, and waits until it reports the rolling
+// runConductedRestart has all proxies restarted by the agent that holds the conductor's duty, and waits until it reports the rolling
 // restart done.
-func (r *run) conductedRoll(ctx context.Context, step fleet.ScheduledTrouble) {
+func (r *run) runConductedRestart(ctx context.Context, trouble fleet.ScheduledTrouble) {
 	var names []string
 	for _, proxy := range r.proxies {
 		names = append(names, fmt.Sprintf("n%d", proxy.number))
 	}
-	id := fmt.Sprintf("roll-%d-%d", step.ScriptIndex, r.Seed)
-	_, err := r.agents.submitCommand(ctx, clusterstate.Command{ID: id, Verb: clusterstate.Roll, Instances: names, Share: cmp.Or(step.Size, 0.2)})
+	id := fmt.Sprintf("roll-%d-%d", trouble.ScriptIndex, r.Seed)
+	_, err := r.agents.submitCommand(ctx, clusterstate.Command{ID: id, Verb: clusterstate.Roll, Instances: names, Share: cmp.Or(trouble.Size, 0.2)})
 	startedAt := time.Now()
 	for err == nil {
-		if time.Since(startedAt) > step.Duration.Duration() {
+		if time.Since(startedAt) > trouble.Duration.Duration() {
 			err = errors.New("not done in time")
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -380,7 +380,7 @@
 	}
 	r.agents.mu.Lock()
 	defer r.agents.mu.Unlock()
-	r.agents.hasRolled = true
+	r.agents.hasConductedRestart = true
 	if err != nil {
 		r.logf("roll: %v", err)
 		r.agents.failedRestarts++
@@ -407,7 +407,7 @@
 	return fmt.Errorf("%v are not ready again after 30 s", names)
 }
 
-// fillFigures sets the figures of orders, restarts and agents.
+// fillFigures sets the figures of orders, restarts and breaches of the agents.
 func (a *agents) fillFigures(figures map[string]float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -416,8 +416,8 @@
 		_, _ = fmt.Sscan(q, &x)
 		figures["order-p"+q] = float64(a.orderLatency.Quantile(x/100)) / 1000
 	}
-	figures["orders-unheard"], figures["drained-left"], figures["restarts-failed"] = float64(a.unheardOrders), float64(a.leftAfterDrain), float64(a.failedRestarts)
-	if a.hasRolled {
+	figures["orders-unheard"], figures["drained-left"], figures["restarts-failed"] = float64(a.unreceivedOrders), float64(a.leftAfterDrain), float64(a.failedRestarts)
+	if a.hasConductedRestart {
 		figures["not-once"] = float64(a.notRestartedOnce())
 		figures["unheld-ms"] = 0
 		if gaps := a.record.UnheldGaps(agent.Conductor); len(gaps) > 0 {
--- a/lab/experiment/compare.go
+++ b/lab/experiment/compare.go
@@ -15,7 +15,7 @@
 	Second float64 `json:"second"`     // mean of the second build
 	Mean   float64 `json:"difference"` // mean of second minus first
 	// Low and High are the bounds of the difference's 95% confidence interval, by Student's t distribution over the pairs.
-	// With one pair they are the smallest and the largest number.
+	// One pair gives no interval; they are -math.MaxFloat64 and math.MaxFloat64 then.
 	Low  float64 `json:"low"`
 	High float64 `json:"high"`
 }
@@ -27,7 +27,7 @@
 const confidenceLevel = 0.95
 
 // Compare returns the differences of the named figures over pairs of results: first[i] and second[i] are runs on the same seed.
-// Pairs in which a figure is not a number are left out, and so are figures without any pair.
+// A figure that a result lacks counts as 0. Pairs in which a figure is NaN are left out, and so are figures without any pair.
 func Compare(first, second []*Result, figures []string) []Difference {
 	var result []Difference
 	for _, name := range figures {
--- a/lab/experiment/cost.go
+++ b/lab/experiment/cost.go
@@ -20,7 +20,7 @@
 // PathCost is what a program between clients and servers, a proxy or a bare relay, costs with a number of established connections.
 type PathCost struct {
 	SetUpMicros          float64 `json:"set_up_us"` // median
-	LineMicros           float64 `json:"line_us"`   // median round trip of a line
+	LineMicros           float64 `json:"line_us"`   // median round trip of a message, which is one line
 	CPUMicrosPerLine     float64 `json:"cpu_us_a_line"`
 	MemoryKBPerConn      float64 `json:"memory_kb_a_connection"`
 	IdleCPUMicrosPerConn float64 `json:"cpu_us_a_second_and_connection"` // CPU time per second and idle connection
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// measurePath starts a proxy, or a relay if binary is empty, before a fleet of its own, and measures it.
+// measurePath starts a proxy, or a relay if binary is empty, in front of a fleet of its own, and measures it.
 func measurePath(ctx context.Context, binary string, relay func(listen, servers string) *exec.Cmd, connections int, dir string) (*PathCost, error) {
 	if err := CheckDescriptorLimit(connections); err != nil {
 		return nil, err
@@ -174,7 +174,7 @@
 		return nil, err
 	}
 	eventLog := ledger.NewEventLog()
-	servers, err := fleet.Start(eventLog, file.Plan(), 1)
+	servers, err := fleet.Start(eventLog, file.FleetConfig(), 1)
 	if err != nil {
 		return nil, err
 	}
@@ -240,7 +240,7 @@
 	messagesSent int64
 }
 
-// lineReader reads lines without their line ends.
+// lineReader reads lines and cuts their line ends off.
 type lineReader struct{ *bufio.Reader }
 
 func (r lineReader) readLine() (string, error) {
@@ -251,7 +251,7 @@
 // clientCount numbers the clients of this process; each uses its number as id and key.
 var clientCount uint64
 
-// dialTestClient connects and waits until the connection is established: until UP. Each of the two may take 5 s.
+// dialTestClient connects, sends a request and waits for UP. Connecting may take 5 s, and the rest another 5 s.
 func dialTestClient(address string) (*testClient, error) {
 	conn, err := net.DialTimeout("tcp", address, 5*time.Second)
 	if err != nil {
--- a/lab/experiment/file.go
+++ b/lab/experiment/file.go
@@ -28,12 +28,12 @@
 type Duration struct{ Micros ledger.Micros }
 
 // UnmarshalText parses a duration in the form of time.ParseDuration. A malformed or negative one is an error.
-func (s *Duration) UnmarshalText(text []byte) error {
-	d, err := time.ParseDuration(string(text))
-	if err != nil || d < 0 {
+func (d *Duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
+	if err != nil || parsed < 0 {
 		return fmt.Errorf("%q is not a duration such as \"1.5s\" or \"300ms\"", text)
 	}
-	s.Micros = ledger.FromDuration(d)
+	d.Micros = ledger.FromDuration(parsed)
 	return nil
 }
 
@@ -66,7 +66,7 @@
 		SetUp    Duration `toml:"set-up"`    // work to establish a connection, on average
 		// Probe is the work of a probe, Load that of an established connection in a second, on average.
 		Probe, Load        Duration
-		LoadSpread         float64  `toml:"load-spread"`          // sigma of the log-normal distribution of connections\' loads; 0 for equal loads
+		LoadSpread         float64  `toml:"load-spread"`          // sigma of the log-normal distribution of connections' loads; 0 for equal loads
 		LoadChange         Duration `toml:"load-change"`          // how long a connection's load lasts, on average; 0 for ever
 		GroupCost          float64  `toml:"group-cost"`           // work of a server for each group with a connection there, in mean loads
 		ConnectionsPerCore int      `toml:"connections-per-core"` // 0 for no limit
@@ -74,11 +74,11 @@
 		// Message is the time that a message takes on an idle core of speed 1, Notice the delay of discovery's answers.
 		Message, Notice Duration
 		Weights         string // what discovery tells of server sizes: "none", "nominal" or "rough"
-		TellsLoad       bool   `toml:"tells-load"`
+		TellsLoad       bool   `toml:"tells-load"` // servers report the load of their connections
 		// Probes tells whether servers answer probes, Sheds whether a draining server asks its clients to move.
 		Probes, Sheds bool
 		// Cold describes a server after its start: From is its initial share of the full capacity, which it reaches after
-		// Warm. One that is sent more than Multiple times its capacity for Window is overloaded and falls.
+		// Warm. One that is sent more than Multiple times its capacity for Window collapses.
 		Cold struct {
 			From, Multiple float64
 			Warm, Window   Duration
@@ -123,8 +123,9 @@
 			Rate float64
 		}
 	}
-	// Trouble lists the faults to inject. Servers names the targets (servers, proxies, machines or sites, as the kind has
-	// it); without it, a share Part of them is drawn. The meaning of Size depends on the kind: see fleet.Kinds.
+	// Trouble lists the disturbances of servers, discovery, proxies and machines during the run. Servers names the targets
+	// (servers, proxies, machines or sites, as the kind has it); without it, a share Part of them is drawn. The meaning of Size depends on
+	// the kind: see fleet.TroubleKinds.
 	Trouble []struct {
 		Kind    string
 		At, For Duration
@@ -187,7 +188,7 @@
 	return f, nil
 }
 
-// setDefaults sets what applies to keys that a file leaves out: the deployment of the first operators.
+// setDefaults sets the values of the keys that a file leaves out. They describe the deployment of the first operators.
 func (f *File) setDefaults() {
 	f.Length, f.Seeds = Duration{20 * ledger.Second}, []uint64{1}
 	proxies := &f.Proxies
@@ -373,18 +374,18 @@
 }
 
 // isMetBy reports whether a figure satisfies the bound. NaN satisfies none.
-func (l bound) isMetBy(x float64) bool {
-	switch l.operator {
+func (b bound) isMetBy(x float64) bool {
+	switch b.operator {
 	case "<=":
-		return x <= l.value
+		return x <= b.value
 	case ">=":
-		return x >= l.value
+		return x >= b.value
 	case "<":
-		return x < l.value
+		return x < b.value
 	case ">":
-		return x > l.value
+		return x > b.value
 	}
-	return x == l.value
+	return x == b.value
 }
 
 // products returns the products in the form that the load generator takes.
@@ -400,18 +401,18 @@
 	return list
 }
 
-// Plan returns the description of the simulated fleet.
-func (f *File) Plan() fleet.Config {
+// FleetConfig returns the description of the simulated fleet.
+func (f *File) FleetConfig() fleet.Config {
 	section := f.Fleet
-	plan := fleet.Config{ServerCount: section.Servers, Zones: section.Zones, InterZoneDelay: section.Between.micros(), CellSize: section.CellSize, SetUpWork: section.SetUp.micros(),
+	config := fleet.Config{ServerCount: section.Servers, Zones: section.Zones, InterZoneDelay: section.Between.micros(), CellSize: section.CellSize, SetUpWork: section.SetUp.micros(),
 		ProbeWork: section.Probe.micros(), ConnLoad: section.Load.micros(), LoadSpread: section.LoadSpread, LoadChangeInterval: section.LoadChange.micros(),
 		GroupCost: section.GroupCost, MaxConnsPerCore: section.ConnectionsPerCore, MaxQueuePerCore: section.QueuePerCore, MessageTime: section.Message.micros(),
 		ColdStart:      fleet.ColdStart{InitialShare: section.Cold.From, WarmUpTime: section.Cold.Warm.micros(), OverloadMultiple: section.Cold.Multiple, OverloadWindow: section.Cold.Window.micros()},
 		DiscoveryDelay: section.Notice.micros(), WeightMode: section.Weights, ReportsLoad: section.TellsLoad, AnswersProbes: section.Probes, MovesClientsOnDrain: section.Sheds}
 	for _, kind := range section.Kind {
-		plan.MachineKinds = append(plan.MachineKinds, fleet.MachineKind{Name: kind.Name, Share: kind.Share, Cores: kind.Cores, Speed: kind.Speed, SpeedSpread: kind.Spread})
+		config.MachineKinds = append(config.MachineKinds, fleet.MachineKind{Name: kind.Name, Share: kind.Share, Cores: kind.Cores, Speed: kind.Speed, SpeedSpread: kind.Spread})
 	}
-	return plan
+	return config
 }
 
 // arrivals returns the arrivals of a run, in order of time: those of the trace up to the run's length, or else drawn by the seed.
@@ -423,25 +424,25 @@
 		}
 		return f.tracedArrivals[:end]
 	}
-	bends := []load.RatePoint{{Rate: f.Load.Rate}}
+	points := []load.RatePoint{{Rate: f.Load.Rate}}
 	if len(f.Load.Bend) > 0 {
-		bends = nil
+		points = nil
 		for _, b := range f.Load.Bend {
-			bends = append(bends, load.RatePoint{At: b.At.micros(), Rate: b.Rate})
+			points = append(points, load.RatePoint{At: b.At.micros(), Rate: b.Rate})
 		}
 	}
-	return load.DrawArrivals(bends, length, f.products(), load.Groups{Count: f.Load.Groups, ZipfExponent: f.Load.Zipf}, seed)
+	return load.DrawArrivals(points, length, f.products(), load.Groups{Count: f.Load.Groups, ZipfExponent: f.Load.Zipf}, seed)
 }
 
 // clientHabits returns how the clients behave.
 func (f *File) clientHabits() load.Habits {
-	l := f.Load
-	return load.Habits{MaxRetries: l.Retries, MeanRetryDelay: l.Wait.micros(), HeedShare: l.Heed, MaxRejoinDelay: l.Rejoin.micros(), MeanReturnDelay: l.Return.micros(),
-		MessageInterval: l.Every.micros(), MarkRetries: l.Marks, LeaveShare: l.Leave, IdleShare: l.Rest, FirstZoneShare: l.Skew, ZoneCount: len(f.Fleet.Zones)}
+	clients := f.Load
+	return load.Habits{MaxRetries: clients.Retries, MeanRetryDelay: clients.Wait.micros(), HeedShare: clients.Heed, MaxRejoinDelay: clients.Rejoin.micros(), MeanReturnDelay: clients.Return.micros(),
+		MessageInterval: clients.Every.micros(), MarkRetries: clients.Marks, LeaveShare: clients.Leave, IdleShare: clients.Rest, FirstZoneShare: clients.Skew, ZoneCount: len(f.Fleet.Zones)}
 }
 
-// troubleList returns the troubles in the form that the fleet's package takes, whose targets are not drawn yet.
-func (f *File) troubleList() []fleet.Trouble {
+// script returns the troubles in the form that fleet.Schedule takes. Targets that the file leaves to chance are not drawn yet.
+func (f *File) script() []fleet.Trouble {
 	var list []fleet.Trouble
 	for _, t := range f.Trouble {
 		list = append(list, fleet.Trouble{Kind: t.Kind, At: t.At.micros(), Duration: t.For.micros(), Share: t.Part, Targets: t.Servers, Size: t.Size})
--- a/lab/experiment/links.go
+++ b/lab/experiment/links.go
@@ -22,7 +22,7 @@
 
 // startLinks makes each proxy reach its servers through relays of its own, if the script has troubles on links.
 func (r *run) startLinks() error {
-	if !slices.ContainsFunc(r.steps, func(s fleet.ScheduledTrouble) bool { return strings.HasPrefix(s.Kind, "way-") }) {
+	if !slices.ContainsFunc(r.troubles, func(s fleet.ScheduledTrouble) bool { return strings.HasPrefix(s.Kind, "way-") }) {
 		return nil
 	}
 	r.links = &proxyLinks{net: links.New(int64(r.Seed)), cutCounts: map[[2]int]int{}}
@@ -40,9 +40,9 @@
 
 // applyTrouble begins or ends a trouble on a proxy's links to a zone, and records when the zone is cut off and reachable again.
 // Troubles may overlap: the link is cut as long as one of them lasts.
-func (l *proxyLinks) applyTrouble(r *run, step fleet.ScheduledTrouble, proxy int, ends bool) {
-	zone := int(step.Size) % len(r.File.Fleet.Zones)
-	if step.Kind == "way-reset" {
+func (l *proxyLinks) applyTrouble(r *run, trouble fleet.ScheduledTrouble, proxy int, ends bool) {
+	zone := int(trouble.Size) % len(r.File.Fleet.Zones)
+	if trouble.Kind == "way-reset" {
 		if !ends {
 			r.recordLinkEvent(ledger.LinkCut, proxy, zone)
 			l.net.ResetConnections(proxyName(proxy), zoneName(zone))
--- a/lab/experiment/proxyfaults.go
+++ b/lab/experiment/proxyfaults.go
@@ -13,7 +13,8 @@
 	"hatchproxy/lab/sysfault"
 )
 
-// callFaults maps the kinds of trouble in which a proxy's system calls fail to the fault; the trouble's size is its chance.
+// callFaults maps the kinds of trouble in which a proxy's system calls fail to their faults. The trouble's size is the
+// probability that a call fails.
 var callFaults = map[string]sysfault.Fault{
 	"calls-accept":  {Group: sysfault.Accept},
 	"calls-socket":  {Group: sysfault.Socket},
@@ -30,10 +31,10 @@
 type syscallFaults struct {
 	intercepted     []sysfault.CallGroup // calls that its processes are filtered for; without any there is no filter
 	mu              sync.Mutex
-	shim            *sysfault.Shim // filter of the running process
-	active          map[int]sysfault.Fault
-	endFuncs        map[int]func()
-	earlierFailures int // calls that failed in earlier processes
+	shim            *sysfault.Shim         // filter of the running process
+	active          map[int]sysfault.Fault // by the index of their trouble in the script
+	endFuncs        map[int]func()         // each ends a fault that has begun in the running process, by the same index
+	earlierFailures int                    // calls that failed in earlier processes
 }
 
 // start starts a process, under a filter if calls are to be intercepted, and begins the active faults that do not prevent its start.
@@ -49,9 +50,9 @@
 	defer s.mu.Unlock()
 	s.earlierFailures = s.failuresLocked()
 	s.shim, s.endFuncs = shim, map[int]func(){}
-	for step, fault := range s.active {
+	for index, fault := range s.active {
 		if !breaksStartup(fault.Group) {
-			s.endFuncs[step] = shim.Begin(fault)
+			s.endFuncs[index] = shim.Begin(fault)
 		}
 	}
 	return nil
@@ -67,32 +68,32 @@
 func (s *syscallFaults) processReady() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for step, fault := range s.active {
-		if s.endFuncs[step] == nil && s.shim != nil {
-			s.endFuncs[step] = s.shim.Begin(fault)
+	for index, fault := range s.active {
+		if s.endFuncs[index] == nil && s.shim != nil {
+			s.endFuncs[index] = s.shim.Begin(fault)
 		}
 	}
 }
 
-// begin begins the fault of the step with a number in the script.
-func (s *syscallFaults) begin(step int, fault sysfault.Fault) {
+// begin begins a fault; index is that of its trouble in the script.
+func (s *syscallFaults) begin(index int, fault sysfault.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.active == nil {
 		s.active = map[int]sysfault.Fault{}
 	}
-	s.active[step] = fault
+	s.active[index] = fault
 	if s.shim != nil {
-		s.endFuncs[step] = s.shim.Begin(fault)
+		s.endFuncs[index] = s.shim.Begin(fault)
 	}
 }
 
-// end ends the fault of a step.
-func (s *syscallFaults) end(step int) {
+// end ends the fault of the trouble with an index in the script.
+func (s *syscallFaults) end(index int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.active, step)
-	if endFault := s.endFuncs[step]; endFault != nil {
+	delete(s.active, index)
+	if endFault := s.endFuncs[index]; endFault != nil {
 		endFault()
 	}
 }
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -89,7 +89,7 @@
 	{"late-line-pQ", "ms by which the load generator itself sent a message late"},
 	{"answers-over-limit", "answers that took longer than 1 s"},
 	{"breaches", "breaches of protocol rules"}, {"breach.RULE", "breaches of one rule"},
-	{"sends-after-drain", "the same as breach.drain-kept"}, {"tipped", "cold servers that fell under overload"},
+	{"sends-after-drain", "the same as breach.drain-kept"}, {"tipped", "cold servers that collapsed under overload"},
 	{"order-pQ", "ms from when an order was issued until an instance received it"},
 	{"orders-unheard", "orders that an instance did not receive within 10 s, summed over instances"},
 	{"drained-left", "connections established at a server 8 s after it was ordered to drain, or 200 ms before the order's end; the largest"},
@@ -135,8 +135,7 @@
 // maxQuickLength limits the length of a quick run, so that all of it ends within a minute.
 const maxQuickLength = 40 * ledger.Second
 
-// finishWait bounds the wait at a run's end: a quarter of it is left, after the clients have gone, to attempts under way at
-// servers.
+// finishWait/4 is the wait at a run's end, after the clients have ended, for dispatches that are still open at servers.
 const finishWait = 1200 * ledger.Millisecond
 
 // run is the state of a run.
@@ -150,13 +149,13 @@
 	clients          *load.Clients
 	tally            *load.Tally
 	length           ledger.Micros
-	steps            []fleet.ScheduledTrouble
-	stopCrowds       map[[2]int]func() // by step and proxy: ends the crowd of idle connections there
+	troubles         []fleet.ScheduledTrouble
+	stopCrowds       map[[2]int]func() // by trouble and proxy: ends the crowd of idle connections there
 	links            *proxyLinks       // between proxies and servers; nil if the script has no trouble on them
 	background       sync.WaitGroup    // of troubles that go on beside the script
 	troubleIntervals []TroubleInterval
 	errMu            sync.Mutex
-	err              error // the first one of the troubles
+	err              error // the first error of a trouble
 }
 
 // Run plays the experiment once. Broken rules and missed expectations are reported in the result; an error means that the
@@ -167,10 +166,10 @@
 		r.length = min(r.length, maxQuickLength)
 	}
 	var err error
-	if r.steps, err = fleet.Schedule(f.troubleList(), f.targetCount, options.Seed); err != nil {
+	if r.troubles, err = fleet.Schedule(f.script(), f.targetCount, options.Seed); err != nil {
 		return nil, err
 	}
-	if r.fleet, err = fleet.Start(r.eventLog, f.Plan(), options.Seed); err != nil {
+	if r.fleet, err = fleet.Start(r.eventLog, f.FleetConfig(), options.Seed); err != nil {
 		return nil, fmt.Errorf("start the server fleet: %w", err)
 	}
 	defer r.fleet.Stop()
@@ -308,10 +307,10 @@
 	startedAt := time.Now()
 	go r.clients.Play(ctx, arrivals)
 	start := r.clients.Start()
-	var script sync.WaitGroup
-	script.Go(func() { r.playTroubles(ctx, start) })
+	var tasks sync.WaitGroup
+	tasks.Go(func() { r.playTroubles(ctx, start) })
 	if r.agents != nil {
-		script.Go(func() { r.awaitSettled(ctx) })
+		tasks.Go(func() { r.awaitSettled(ctx) })
 	}
 	if r.Placement == PlacementBest {
 		go r.rebalance(ctx)
@@ -322,7 +321,7 @@
 		select {
 		case <-time.After((at - r.eventLog.Now()).Duration()):
 		case <-ctx.Done():
-			script.Wait()
+			tasks.Wait()
 			r.clients.Wait()
 			return nil, ctx.Err()
 		}
@@ -347,13 +346,13 @@
 		longestLimit = max(longestLimit, p.HardLimit)
 	}
 	end := r.eventLog.Now()
-	script.Wait()
+	tasks.Wait()
 	r.background.Wait()
 	r.clients.Wait()
 	if r.agents != nil {
 		r.checkAgents(ctx)
 	}
-	// Let attempts under way at servers end, so that the event log is complete.
+	// Let dispatches that are open at servers end, so that the event log is complete.
 	time.Sleep(finishWait.Duration() / 4)
 	if r.err != nil {
 		return nil, r.err
@@ -421,16 +420,16 @@
 	return parameters
 }
 
-// playTroubles begins and ends each step of the script at its time after start. Steps that would begin at or after the run's
-// end are left out, and those that would go on are ended then.
+// playTroubles begins and ends each trouble of the script at its time after start. Those that would begin at or after the run's
+// end are left out, and those that would last longer are ended then.
 func (r *run) playTroubles(ctx context.Context, start ledger.Micros) {
 	type moment struct {
-		at   ledger.Micros
-		step fleet.ScheduledTrouble
-		ends bool
+		at      ledger.Micros
+		trouble fleet.ScheduledTrouble
+		ends    bool
 	}
 	var moments []moment
-	for _, s := range r.steps {
+	for _, s := range r.troubles {
 		if s.At >= r.length {
 			continue
 		}
@@ -446,17 +445,17 @@
 		}
 		var err error
 		switch {
-		case fleet.IsAgentTrouble(m.step.Kind):
-			r.applyToAgents(ctx, m.step, m.ends)
-		case fleet.IsProxyTrouble(m.step.Kind):
-			err = r.applyToProxies(m.step, m.ends)
+		case fleet.IsAgentTrouble(m.trouble.Kind):
+			r.applyToAgents(ctx, m.trouble, m.ends)
+		case fleet.IsProxyTrouble(m.trouble.Kind):
+			err = r.applyToProxies(m.trouble, m.ends)
 		case m.ends:
-			err = r.fleet.EndTrouble(m.step)
+			err = r.fleet.EndTrouble(m.trouble)
 		default:
-			err = r.fleet.BeginTrouble(m.step)
+			err = r.fleet.BeginTrouble(m.trouble)
 		}
 		if !m.ends {
-			r.logf("%s", m.step)
+			r.logf("%s", m.trouble)
 		}
 		r.recordError(err)
 	}
@@ -479,23 +478,23 @@
 	r.eventLog.Record(ledger.Event{Kind: kind, Proxy: n, Server: ledger.None, Product: ledger.None})
 }
 
-// applyToProxies begins or ends a step at the proxies that it names. What takes time goes on in the background.
-func (r *run) applyToProxies(step fleet.ScheduledTrouble, ends bool) error {
-	for _, n := range step.Targets {
+// applyToProxies begins or ends a trouble at the proxies that it names. What takes time goes on in the background.
+func (r *run) applyToProxies(trouble fleet.ScheduledTrouble, ends bool) error {
+	for _, n := range trouble.Targets {
 		if n >= len(r.proxies) {
 			continue // a baseline has no proxies
 		}
 		proxy := r.proxies[n]
 		switch {
-		case step.Kind == "proxy-stop" && !ends:
+		case trouble.Kind == "proxy-stop" && !ends:
 			r.recordProxyEvent(ledger.ProxyPaused, n)
 			proxy.signal(syscall.SIGSTOP)
-		case step.Kind == "proxy-stop":
+		case trouble.Kind == "proxy-stop":
 			proxy.signal(syscall.SIGCONT)
 			r.recordProxyEvent(ledger.ProxyResumed, n)
-		case step.Kind == "proxy-reload" && !ends:
+		case trouble.Kind == "proxy-reload" && !ends:
 			proxy.signal(syscall.SIGHUP)
-		case step.Kind == "list-moved" && !ends:
+		case trouble.Kind == "list-moved" && !ends:
 			if err := proxy.discovery.MoveAddress(1500 * time.Millisecond); err != nil {
 				return err
 			}
@@ -503,48 +502,48 @@
 				return err
 			}
 			proxy.signal(syscall.SIGHUP)
-		case strings.HasPrefix(step.Kind, "way-"):
-			r.links.applyTrouble(r, step, n, ends)
-		case strings.HasPrefix(step.Kind, "calls-") && !ends:
-			fault := callFaults[step.Kind]
-			fault.Probability = step.Size
-			proxy.syscalls.begin(step.ScriptIndex, fault)
-		case strings.HasPrefix(step.Kind, "calls-"):
-			proxy.syscalls.end(step.ScriptIndex)
-		case step.Kind == "proxy-crowd" && !ends:
-			r.stopCrowds[[2]int{step.ScriptIndex, n}] = openIdleCrowd(proxy.address, int(step.Size), r.newRand(step, n))
-		case step.Kind == "proxy-crowd":
-			if end := r.stopCrowds[[2]int{step.ScriptIndex, n}]; end != nil {
+		case strings.HasPrefix(trouble.Kind, "way-"):
+			r.links.applyTrouble(r, trouble, n, ends)
+		case strings.HasPrefix(trouble.Kind, "calls-") && !ends:
+			fault := callFaults[trouble.Kind]
+			fault.Probability = trouble.Size
+			proxy.syscalls.begin(trouble.ScriptIndex, fault)
+		case strings.HasPrefix(trouble.Kind, "calls-"):
+			proxy.syscalls.end(trouble.ScriptIndex)
+		case trouble.Kind == "proxy-crowd" && !ends:
+			r.stopCrowds[[2]int{trouble.ScriptIndex, n}] = openIdleCrowd(proxy.address, int(trouble.Size), r.newRand(trouble, n))
+		case trouble.Kind == "proxy-crowd":
+			if end := r.stopCrowds[[2]int{trouble.ScriptIndex, n}]; end != nil {
 				r.background.Go(end)
 			}
-		case step.Kind == "proxy-series" && !ends:
-			r.background.Go(func() { r.recordError(proxy.reloadSeries(r.File, r.newRand(step, n))) })
-		case step.Kind == "proxy-series":
-		case step.Kind == "proxy-retire" && !ends:
+		case trouble.Kind == "proxy-series" && !ends:
+			r.background.Go(func() { r.recordError(proxy.reloadSeries(r.File, r.newRand(trouble, n))) })
+		case trouble.Kind == "proxy-series":
+		case trouble.Kind == "proxy-retire" && !ends:
 			time.AfterFunc(routingDelay, func() {
 				proxy.mu.Lock()
 				defer proxy.mu.Unlock()
 				proxy.ready = proxy.ready && proxy.shouldRun // it may have been restarted already
 			})
 			r.background.Go(func() {
-				if !proxy.retire(r.longestLimit(), r.newRand(step, n)) {
+				if !proxy.retire(r.longestLimit(), r.newRand(trouble, n)) {
 					proxy.mu.Lock()
 					proxy.uncleanExits++
 					proxy.mu.Unlock()
 				}
 			})
-		case step.Kind == "proxy-kill" && !ends:
+		case trouble.Kind == "proxy-kill" && !ends:
 			r.recordProxyEvent(ledger.ProxyKilled, n)
 			proxy.mu.Lock()
 			proxy.ready = false
 			proxy.mu.Unlock()
 			proxy.terminate(syscall.SIGKILL)
-		case step.Kind == "proxy-leave" && !ends:
+		case trouble.Kind == "proxy-leave" && !ends:
 			proxy.mu.Lock()
 			proxy.ready = false
 			proxy.mu.Unlock()
 			r.background.Go(func() { proxy.terminate(syscall.SIGTERM) })
-		case step.Kind == "proxy-kill", step.Kind == "proxy-leave", step.Kind == "proxy-retire":
+		case trouble.Kind == "proxy-kill", trouble.Kind == "proxy-leave", trouble.Kind == "proxy-retire":
 			proxy.mu.Lock()
 			exited := proxy.exited
 			proxy.mu.Unlock()
@@ -561,9 +560,9 @@
 	return nil
 }
 
-// interceptedCalls returns the system calls that the script makes fail.
+// interceptedCalls returns the groups of system calls that the script makes fail.
 func (r *run) interceptedCalls() (calls []sysfault.CallGroup) {
-	for _, s := range r.steps {
+	for _, s := range r.troubles {
 		if fault, isCallFault := callFaults[s.Kind]; isCallFault && !slices.Contains(calls, fault.Group) {
 			calls = append(calls, fault.Group)
 		}
@@ -571,9 +570,9 @@
 	return calls
 }
 
-// newRand returns the random source of a step at a proxy.
-func (r *run) newRand(step fleet.ScheduledTrouble, proxy int) *rand.Rand {
-	return rand.New(rand.NewPCG(r.Seed, uint64(step.ScriptIndex)<<16|uint64(proxy)))
+// newRand returns the random source of a trouble at a proxy.
+func (r *run) newRand(trouble fleet.ScheduledTrouble, proxy int) *rand.Rand {
+	return rand.New(rand.NewPCG(r.Seed, uint64(trouble.ScriptIndex)<<16|uint64(proxy)))
 }
 
 // fillFigures sets the figures of a result, its distributions and its values by second. maxEstablished is the largest number
@@ -582,7 +581,7 @@
 	tally, figures := r.tally, result.Figures
 	figures["served"], figures["served-worst-10s"] = tally.ServedShare(0, r.length), tally.WorstServedShare(10)
 	lastTroubleEnd := ledger.Micros(0)
-	for _, s := range r.steps {
+	for _, s := range r.troubles {
 		lastTroubleEnd = max(lastTroubleEnd, min(s.At+s.Duration, r.length))
 	}
 	figures["served-after"] = tally.ServedShare(max(min(lastTroubleEnd+20*ledger.Second, r.length*4/5), 0), r.length)
--- a/lab/fleet/discovery.go
+++ b/lab/fleet/discovery.go
@@ -23,6 +23,7 @@
 	stateGone
 )
 
+// stateNames are the names of the states in discovery's answers.
 var stateNames = [...]string{"ready", "draining", "gone"}
 
 // listEntry is a version of a server's entry on the list, with the JSON fields of discovery's answers. Endpoint and State are
@@ -81,7 +82,8 @@
 }
 
 // DiscoveryServer is the discovery service of one proxy: an HTTP server that shows a ServerList and can be made to fail. The discovery
-// servers of a list fail independently of each other.
+// servers of a list can fail independently of each other; Fleet.BeginTrouble makes all of
+// a fleet fail alike.
 type DiscoveryServer struct {
 	list  *ServerList
 	proxy int
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -160,8 +160,8 @@
 	return i / f.Config.CellSize
 }
 
-// Positions returns the zones and cells of the servers, as ledger.Parameters needs them.
-func (f *Fleet) Positions() []ledger.ServerLocation {
+// ServerLocations returns the zones and cells of the servers, as ledger.Parameters needs them.
+func (f *Fleet) ServerLocations() []ledger.ServerLocation {
 	locations := make([]ledger.ServerLocation, len(f.Servers))
 	for i, s := range f.Servers {
 		locations[i] = ledger.ServerLocation{Zone: s.Zone, Cell: f.Cell(i)}
@@ -209,7 +209,7 @@
 			ratio, collapses := s.machine.CheckOverload(f.eventLog.Now())
 			if collapses && !s.down {
 				s.collapsed = true
-				f.eventLog.Record(ledger.Event{Kind: ledger.ColdServerOverloaded, Server: i, Proxy: ledger.None, Product: ledger.None,
+				f.eventLog.Record(ledger.Event{Kind: ledger.ColdServerCollapsed, Server: i, Proxy: ledger.None, Product: ledger.None,
 					Note: fmt.Sprintf("demand of %.1f times its capacity for %s; %d connections", ratio, f.Config.ColdStart.OverloadWindow, s.machine.established)})
 				f.crash(s)
 				f.publishState(i, stateGone)
--- a/lab/fleet/machine.go
+++ b/lab/fleet/machine.go
@@ -10,7 +10,7 @@
 	"hatchproxy/lab/ledger"
 )
 
-// Micros is a time since the run's start, or a duration, in microseconds.
+// Micros is a time since the event log's start, or a duration, in whole microseconds.
 type Micros = ledger.Micros
 
 // Machine simulates the capacity of a server. It does no I/O and is given the time by its caller. Work is in microseconds of a
--- a/lab/ledger/judge.go
+++ b/lab/ledger/judge.go
@@ -39,7 +39,7 @@
 type Parameters struct {
 	Products      []Product
 	Servers       []ServerLocation
-	DrainGrace    Micros // how long after it was told of a drain a proxy may still use the server
+	DrainGrace    Micros // how long a proxy may still send to a server after it was told that the server drains
 	MaxDispatches int    // for one attachment; 0 for no bound
 	End           Micros // of the run: what was not yet due by then is no breach
 }
@@ -63,23 +63,23 @@
 // Rule is the name of a rule in reports and figures.
 type Rule string
 
-// The rules.
+// The rules, each with what a proxy must do to keep it.
 const (
-	OneAnswer               Rule = "one-final-answer"
-	NothingAfterAnswer      Rule = "nothing-after-the-answer"
-	LateAnswer              Rule = "late-answer"
-	WithheldAnswer          Rule = "withheld-answer"
-	ConcurrentDispatches    Rule = "two-dispatches-out"
-	RepeatedEffect          Rule = "effect-twice"
-	OutsideDedupScope       Rule = "stamped-out-of-group-or-window"
-	DrainRespected          Rule = "drain-kept"
-	ColdServerNotOverloaded Rule = "cold-server-kept-up"
-	NoCutWithoutMove        Rule = "no-cut-without-move"
-	EndPassedOn             Rule = "end-passed-on"
-	SilenceEnds             Rule = "silence-ends"
-	LinesUnchanged          Rule = "lines-unchanged"
-	DispatchLimit           Rule = "dispatches-at-most"
-	NothingAfterLeave       Rule = "nothing-for-who-left"
+	OneAnswer               Rule = "one-final-answer"               // a request gets a final answer, and an UP is one that a server sent
+	NothingAfterAnswer      Rule = "nothing-after-the-answer"       // after the final answer the client gets nothing more, and no dispatch is sent or stays open
+	LateAnswer              Rule = "late-answer"                    // the final answer comes by the hard limit
+	WithheldAnswer          Rule = "withheld-answer"                // the final answer comes at once when no further dispatch is allowed
+	ConcurrentDispatches    Rule = "two-dispatches-out"             // at most one dispatch is open at a time
+	RepeatedEffect          Rule = "effect-twice"                   // a one-shot request that may have run is neither sent again nor refused with BUSY
+	OutsideDedupScope       Rule = "stamped-out-of-group-or-window" // a stamped request that may have run is sent again only within its dedup scope and window
+	DrainRespected          Rule = "drain-kept"                     // once the grace is over, nothing is sent to a server that drains or is gone
+	ColdServerNotOverloaded Rule = "cold-server-kept-up"            // no cold server is sent so much that it collapses
+	NoCutWithoutMove        Rule = "no-cut-without-move"            // an established connection is not closed without MOVE while its server answers
+	EndPassedOn             Rule = "end-passed-on"                  // the client learns in time that its server has ended the connection
+	SilenceEnds             Rule = "silence-ends"                   // a client does not stay too long at a server that sends nothing
+	LinesUnchanged          Rule = "lines-unchanged"                // lines are passed on unchanged, once and in time
+	DispatchLimit           Rule = "dispatches-at-most"             // a request is not sent to servers more often than allowed
+	NothingAfterLeave       Rule = "nothing-for-who-left"           // nothing is sent for a client that has left without an answer
 )
 
 // Rules lists all rules, in the order in which they are reported.
@@ -117,9 +117,9 @@
 // checker checks one event log.
 type checker struct {
 	parameters    Parameters
-	pauses        map[int][]interval    // by proxy: the rig stopped its process, so delays are not the proxy's
-	linkCuts      map[[2]int][]interval // by proxy and zone: the rig held back all traffic
-	kills         map[int][]Micros      // by proxy: the rig killed its process
+	pauses        map[int][]interval    // by proxy: the lab paused its process, so that delays are not the proxy's
+	linkCuts      map[[2]int][]interval // by proxy and zone: the lab held back all traffic
+	kills         map[int][]Micros      // by proxy: the lab killed its process
 	announcements map[[2]int][]Event    // by proxy and server: the states that the proxy was told
 	breaches      []Breach
 }
@@ -148,7 +148,7 @@
 		case StateAnnounced:
 			proxyAndServer := [2]int{e.Proxy, e.Server}
 			c.announcements[proxyAndServer] = append(c.announcements[proxyAndServer], e)
-		case ColdServerOverloaded:
+		case ColdServerCollapsed:
 			c.checkColdServer(events, e)
 		}
 		if e.ID != 0 {
@@ -172,8 +172,8 @@
 	c.breaches = append(c.breaches, Breach{r, at, id, fmt.Sprintf(format, a...), evidence})
 }
 
-// pausedTime returns for how long the rig stopped a proxy within an interval, with the tolerance for each time that it needed to
-// catch up.
+// pausedTime returns for how long the lab paused a proxy within an interval, plus the tolerance for each pause, in which the proxy
+// catches up.
 func (c *checker) pausedTime(proxy int, from, to Micros) Micros {
 	var sum Micros
 	for _, s := range c.pauses[proxy] {
@@ -198,7 +198,7 @@
 	return found, lasted
 }
 
-// wasKilled reports whether the rig killed a proxy within an interval, give or take the tolerance.
+// wasKilled reports whether the lab killed a proxy within an interval, give or take the tolerance.
 func (c *checker) wasKilled(proxy int, from, to Micros) bool {
 	return slices.ContainsFunc(c.kills[proxy], func(at Micros) bool { return at >= from-tolerance && at <= to+tolerance })
 }
@@ -501,31 +501,31 @@
 		return
 	}
 	for _, d := range a.dispatches {
-		var byList, byOrder, told *Event
+		var byList, byOrder, announced *Event
 		for _, e := range c.announcements[[2]int{a.proxy, d.server}] {
-			told = byList
+			announced = byList
 			if e.Note == ByOrder {
-				told = byOrder
+				announced = byOrder
 			}
 			switch {
 			case e.At > d.arrivedAt:
 			case e.Value == 0:
-				told = nil
-			case told == nil:
-				told = &e
+				announced = nil
+			case announced == nil:
+				announced = &e
 			}
 			if e.Note == ByOrder {
-				byOrder = told
+				byOrder = announced
 			} else {
-				byList = told
+				byList = announced
 			}
 		}
-		if told = byList; told == nil || byOrder != nil && byOrder.At < told.At {
-			told = byOrder
+		if announced = byList; announced == nil || byOrder != nil && byOrder.At < announced.At {
+			announced = byOrder
 		}
-		if told != nil && d.arrivedAt > told.At+c.parameters.DrainGrace+tolerance+c.pausedTime(a.proxy, told.At, d.arrivedAt) {
-			c.report(DrainRespected, d.arrivedAt, a.id, append([]Event{*told}, a.events...),
-				"sent to server %d, %s after proxy %d was told not to", d.server, d.arrivedAt-told.At, a.proxy)
+		if announced != nil && d.arrivedAt > announced.At+c.parameters.DrainGrace+tolerance+c.pausedTime(a.proxy, announced.At, d.arrivedAt) {
+			c.report(DrainRespected, d.arrivedAt, a.id, append([]Event{*announced}, a.events...),
+				"sent to server %d, %s after proxy %d was told not to", d.server, d.arrivedAt-announced.At, a.proxy)
 		}
 	}
 }
@@ -563,7 +563,7 @@
 	}
 }
 
-// checkColdServer reports an overloaded cold server. The evidence is the first 40 dispatches of the last 5 s to it.
+// checkColdServer reports that a cold server collapsed. The evidence is the first 40 dispatches of the last 5 s to it.
 func (c *checker) checkColdServer(events []Event, e Event) {
 	dispatches := []Event{}
 	for _, sent := range events {
@@ -571,5 +571,5 @@
 			dispatches = append(dispatches, sent)
 		}
 	}
-	c.report(ColdServerNotOverloaded, e.At, 0, append(dispatches, e), "server %d was overloaded while cold: %s", e.Server, e.Note)
+	c.report(ColdServerNotOverloaded, e.At, 0, append(dispatches, e), "server %d collapsed while cold: %s", e.Server, e.Note)
 }
--- a/lab/ledger/judge_test.go
+++ b/lab/ledger/judge_test.go
@@ -24,7 +24,7 @@
 	return append(r, e)
 }
 
-// proxyEvent appends what the test rig did to proxy 0.
+// proxyEvent appends what the lab did to proxy 0.
 func (r record) proxyEvent(ms int, k ledger.Kind) record {
 	e := newEvent(ms, k, ledger.None)
 	e.ID, e.Proxy = 0, 0
@@ -92,7 +92,7 @@
 		"an answer just in time":                     {refusedAt(requestRecord(0, 0), 1040), nil},
 		"sent after the client had left":             {requestRecord(0, 0).add(100, ledger.ClientLeft, none).dispatched(260, 0, 270, ledger.ServerSentBusy), []ledger.Rule{ledger.NothingAfterLeave}},
 		"sent just as the client left":               {requestRecord(0, 0).add(100, ledger.ClientLeft, none).dispatched(190, 0, 200, ledger.ServerSentBusy), nil},
-		"late as the proxy was paused by the rig":    {refusedAt(requestRecord(0, 0).proxyEvent(100, ledger.ProxyPaused).proxyEvent(1200, ledger.ProxyResumed), 1800), nil},
+		"late as the proxy was paused by the lab":    {refusedAt(requestRecord(0, 0).proxyEvent(100, ledger.ProxyPaused).proxyEvent(1200, ledger.ProxyResumed), 1800), nil},
 		"two answers":                                {refusedAt(requestRecord(0, 0), 10).add(20, ledger.ClientReceivedExtra, none), []ledger.Rule{ledger.NothingAfterAnswer}},
 		"sent after the answer":                      {refusedAt(requestRecord(0, 0), 10).dispatched(200, 0, 210, ledger.ServerSentBusy), []ledger.Rule{ledger.NothingAfterAnswer}},
 		"a dispatch open after the answer":           {refusedAt(requestRecord(0, 0).add(5, ledger.DispatchArrived, 0).add(5, ledger.DispatchComplete, 0), 100), []ledger.Rule{ledger.NothingAfterAnswer}},
@@ -121,7 +121,7 @@
 		"cut off":                             {establishedRecord().add(5000, ledger.ClientDisconnected, none).add(5001, ledger.ProxyClosed, 0), []ledger.Rule{ledger.NoCutWithoutMove}},
 		"moved":                               {establishedRecord().add(4999, ledger.ClientReceivedMove, none).add(5001, ledger.ProxyClosed, 0), nil},
 		"ended by its server":                 {establishedRecord().add(4999, ledger.ServerReset, 0).add(5000, ledger.ClientDisconnected, none), nil},
-		"ended by the rig's kill":             {establishedRecord().proxyEvent(4999, ledger.ProxyKilled).add(5000, ledger.ClientDisconnected, none).add(5001, ledger.ProxyClosed, 0), nil},
+		"ended as the lab killed the proxy":   {establishedRecord().proxyEvent(4999, ledger.ProxyKilled).add(5000, ledger.ClientDisconnected, none).add(5001, ledger.ProxyClosed, 0), nil},
 		"an end not passed on":                {establishedRecord().add(5000, ledger.ServerClosed, 0).add(6100, ledger.ClientDisconnected, none), []ledger.Rule{ledger.EndPassedOn}},
 		"an end never passed on":              {establishedRecord().add(5000, ledger.ServerClosed, 0), []ledger.Rule{ledger.EndPassedOn}},
 		"a silence that goes on":              {establishedRecord().add(5000, ledger.ServerSilent, 0).add(12100, ledger.ClientReceivedMove, none), []ledger.Rule{ledger.SilenceEnds}},
@@ -153,9 +153,9 @@
 	for i := range events {
 		events[i].ID = ledger.AttachmentID(100 + i) // each belongs to another attachment
 	}
-	overload := newEvent(1100, ledger.ColdServerOverloaded, 2)
-	overload.ID = 0
-	breaches := ledger.FindBreaches(append(events, overload), parameters)
+	collapse := newEvent(1100, ledger.ColdServerCollapsed, 2)
+	collapse.ID = 0
+	breaches := ledger.FindBreaches(append(events, collapse), parameters)
 	require.Len(t, breaches, 1)
 	require.Equal(t, ledger.ColdServerNotOverloaded, breaches[0].Rule)
 	require.Len(t, breaches[0].Evidence, 11)
--- a/lab/ledger/ledger.go
+++ b/lab/ledger/ledger.go
@@ -79,10 +79,10 @@
 
 	// StateAnnounced: discovery, or an order, told a proxy a server's state. Value is 0 for ready, 1 for draining, 2 for gone.
 	StateAnnounced
-	ColdServerOverloaded // a server crashed because it was sent more than it can bear while cold
+	ColdServerCollapsed // a cold server went down because it was sent more than it can bear
 	ProxyKilled
 	ProxyRestarted
-	ProxyPaused // the rig stopped the proxy's process
+	ProxyPaused // the lab paused the proxy's process
 	ProxyResumed
 	Trouble     // a trouble of the experiment began or ended; the Note says which
 	CarriedOver // the attachment's request is for a connection that was established before the run
@@ -104,7 +104,7 @@
 	ServerSentMove: "the server said MOVE", ServerClosed: "the server ended it", ServerReset: "the server reset it",
 	ProxyClosed: "the proxy ended it", ServerSilent: "the server fell silent", ServerResumed: "the server spoke again",
 	LineDelayed: "a line was held", LineLost: "a line was lost", LineDuplicated: "a line came twice",
-	LineChanged: "a line was changed", StateAnnounced: "discovery told", ColdServerOverloaded: "a cold server tipped over",
+	LineChanged: "a line was changed", StateAnnounced: "discovery told", ColdServerCollapsed: "a cold server tipped over",
 	ProxyKilled: "the proxy was killed", ProxyRestarted: "the proxy is back", ProxyPaused: "the proxy was stopped",
 	ProxyResumed: "the proxy was woken", Trouble: "trouble", CarriedOver: "it stood before the run",
 	ClientConnected: "the client connected, and rested",
--- a/lab/load/session.go
+++ b/lab/load/session.go
@@ -125,9 +125,10 @@
 	rng        *rand.Rand
 	zone       int
 	heedsDelay bool               // waits as long as a BUSY answer tells it
-	carried    *carriedConnection // until its first attempt; nil for an arrival of the run
+	carried    *carriedConnection // until its first request; nil for an arrival of the run
 }
 
+// drawZone draws the client's zone by FirstZoneShare.
 func (s *session) drawZone() int {
 	if s.habits.ZoneCount < 2 {
 		return 0
@@ -177,14 +178,14 @@
 	}
 }
 
-// connect makes attempts until one has established a connection and that has ended. It returns false if the retries were used
+// connect sends requests until one has established a connection and that has ended. It returns false if the retries were used
 // up or the time was over before. again tells that the client was connected or had given up before.
 func (s *session) connect(due, until Micros, again bool) bool {
 	firstDue := due
 	for try := 0; ; try++ {
 		carried := s.carried
 		s.carried = nil
-		answer, wait := s.attempt(due, firstDue, until, try, again, carried)
+		answer, wait := s.sendRequest(due, firstDue, until, try, again, carried)
 		if answer == established {
 			return true
 		}
@@ -205,7 +206,7 @@
 	}
 }
 
-// outcome is the result of an attempt.
+// outcome is the result of a request.
 type outcome uint8
 
 const (
@@ -218,10 +219,10 @@
 // longer than the tolerance by which the rules extend a limit.
 const lateAnswerWait = 500 * ledger.Millisecond
 
-// attempt connects, sends one request and handles the answer; a connection that is established lasts until the call returns.
-// due is when this request was scheduled, firstDue when the first one of this set-up was. With the outcome it returns how long
-// a BUSY answer told the client to wait.
-func (s *session) attempt(due, firstDue, until Micros, try int, again bool, carried *carriedConnection) (outcome, Micros) {
+// sendRequest connects, sends one request and handles the answer; a connection that is established lasts until the call returns.
+// due is when this request was scheduled, firstDue when the first one of this set-up was, and try is the number of those before
+// it. With the outcome it returns how long a BUSY answer told the client to wait.
+func (s *session) sendRequest(due, firstDue, until Micros, try int, again bool, carried *carriedConnection) (outcome, Micros) {
 	p := s.products[s.Product]
 	address, proxy, found := s.route(s.rng, s.zone, s.Group)
 	limit := p.HardLimit
--- a/lab/load/tally.go
+++ b/lab/load/tally.go
@@ -66,7 +66,7 @@
 	ArrivalLateness *Histogram // by how much the load generator itself was late with an arrival
 	MessageLateness *Histogram // by how much the load generator itself was late with a message
 
-	// Requests counts all attempts. Each of them ends as one of Established, Busy (refused with BUSY), Failed (another
+	// Requests counts all requests, retries included. Each of them ends as one of Established, Busy (refused with BUSY), Failed (another
 	// answer), Unanswered or ConnectFailures (nothing to connect to, or a failed connect or write), or with the run.
 	// Established connections that the other side ended are counted as Moves (with MOVE) or Disconnects (without), set-ups
 	// whose retries were used up as GivenUp.
--- a/lab/testproxy/testproxy.go
+++ b/lab/testproxy/testproxy.go
@@ -92,6 +92,7 @@
 	}
 }
 
+// writeLine writes a line with its end, and ignores errors.
 func writeLine(c net.Conn, line string) { _, _ = c.Write([]byte(line + "\r\n")) }
 
 // serve handles a client's connection, up to its end.
--- a/lab/testproxy/testproxy_test.go
+++ b/lab/testproxy/testproxy_test.go
@@ -76,9 +76,9 @@
 	return append([]string(nil), l.endpoints...)
 }
 
-// runAndJudge runs clients through a faulty proxy to three servers, with scripted troubles, and checks the rules. It returns the
+// runAndCheck runs clients through a faulty proxy to three servers, with scripted troubles, and checks the rules. It returns the
 // number of breaches by rule, and the breaches.
-func runAndJudge(t *testing.T, violation testproxy.Violation, length ledger.Micros, cold fleet.ColdStart, script ...fleet.Trouble) (map[ledger.Rule]int, []ledger.Breach) {
+func runAndCheck(t *testing.T, violation testproxy.Violation, length ledger.Micros, cold fleet.ColdStart, script ...fleet.Trouble) (map[ledger.Rule]int, []ledger.Breach) {
 	t.Parallel()
 	eventLog := ledger.NewEventLog()
 	f, err := fleet.Start(eventLog, fleet.Config{ServerCount: 3, Zones: []string{"a", "b"}, SetUpWork: 5 * ledger.Millisecond, ConnLoad: 1000,
@@ -115,7 +115,7 @@
 	clients.Wait()
 	breaches := ledger.FindBreaches(eventLog.Events(), ledger.Parameters{
 		Products: []ledger.Product{{Name: "chat"}, {Name: "pay", Idempotency: ledger.OneShot}, {Name: "stamp", Idempotency: ledger.Stamped, DedupScope: ledger.DedupZone}},
-		Servers:  f.Positions(), DrainGrace: second / 2, MaxDispatches: 3, End: end})
+		Servers:  f.ServerLocations(), DrainGrace: second / 2, MaxDispatches: 3, End: end})
 	count := map[ledger.Rule]int{}
 	for _, b := range breaches {
 		count[b.Rule]++
@@ -167,7 +167,7 @@
 			if violation == testproxy.FloodsColdServer {
 				cold = fleet.ColdStart{InitialShare: 0.01, WarmUpTime: 600 * second, OverloadMultiple: 4, OverloadWindow: second}
 			}
-			count, breaches := runAndJudge(t, violation, c.length, cold, c.script...)
+			count, breaches := runAndCheck(t, violation, c.length, cold, c.script...)
 			require.Positive(t, count[c.rule], "%v", count)
 			require.NotEmpty(t, breaches[0].Evidence)
 		})
@@ -188,7 +188,7 @@
 		"refuse": {firstServer("refuse", 0, second, second)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, breaches := runAndJudge(t, testproxy.NoViolation, 5*second, fleet.ColdStart{}, script...)
+			_, breaches := runAndCheck(t, testproxy.NoViolation, 5*second, fleet.ColdStart{}, script...)
 			for _, b := range breaches {
 				t.Error(b)
 			}
