--- a/cmd/hatchlab/chaos.go
+++ b/cmd/hatchlab/chaos.go
@@ -154,9 +154,9 @@
 			}
 		})
 	}
-	for s := range int64(runs) {
+	for i := range int64(runs) {
 		if ctx.Err() == nil {
-			seeds <- seed + s
+			seeds <- seed + i
 		}
 	}
 	close(seeds)
--- a/cmd/hatchlab/main.go
+++ b/cmd/hatchlab/main.go
@@ -21,7 +21,7 @@
 )
 
 // errChecksFailed is returned after a completed run in which a rule was broken or an expectation was not met. Only
-// the exit code tells of it: main prints no message.
+// the exit code shows it: main prints no message.
 var errChecksFailed = errors.New("checks failed")
 
 func main() {
--- a/cmd/hatchlab/run.go
+++ b/cmd/hatchlab/run.go
@@ -115,7 +115,7 @@
 }
 
 // runOnce runs an experiment once, with one seed and placement. The files of the run are kept if keepFolder is set.
-func (r *runner) runOnce(ctx context.Context, f *experiment.File, binary string, placement experiment.Placement, seed uint64, out io.Writer) (*experiment.Result, error) {
+func (r *runner) runOnce(ctx context.Context, f *experiment.File, binary string, placement experiment.Placement, seed uint64, progress io.Writer) (*experiment.Result, error) {
 	folder := r.keepFolder
 	if folder == "" {
 		temporary, err := os.MkdirTemp("", "hatchlab-run-")
@@ -131,7 +131,7 @@
 			return nil, err
 		}
 	}
-	return f.Run(ctx, experiment.RunOptions{Seed: seed, Placement: placement, ProxyBinary: binary, AgentBinary: r.agentPath, Dir: folder, Quick: r.quick, Logf: r.progressFunc(out)})
+	return f.Run(ctx, experiment.RunOptions{Seed: seed, Placement: placement, ProxyBinary: binary, AgentBinary: r.agentPath, Dir: folder, Quick: r.quick, Logf: r.progressFunc(progress)})
 }
 
 func runCommand() *cobra.Command {
--- a/lab/experiment/agents.go
+++ b/lab/experiment/agents.go
@@ -251,7 +251,7 @@
 			}
 		}
 	}
-	r.agents.AwaitSettled(ctx, "s-nobody")
+	r.agents.AwaitSettled(ctx, "s-nobody") // no server has this UID, so the new command has no effect
 }
 
 // checkAgents ends the recording and checks it against the rules of agents and instances. If any is broken, it writes the record
@@ -276,7 +276,8 @@
 const orderTimeout = 10 * time.Second
 
 // runDrainOrder orders the agents to have a server drained, or to undo that if ends is set, and records when each instance received
-// the order. After an order to drain it also counts the connections that are left at the server.
+// the order. After an order to drain it also counts the connections that are left at the server 8 s after the order, or 200 ms
+// before the trouble's end if that is earlier.
 func (r *run) runDrainOrder(ctx context.Context, trouble fleet.ScheduledTrouble, server int, ends bool) {
 	action, state := clusterstate.Drain, int64(1)
 	if ends {
--- a/lab/experiment/cost.go
+++ b/lab/experiment/cost.go
@@ -57,8 +57,8 @@
 
 // CostFigures are the figures of a PathCost, each with its name and unit.
 var CostFigures = []struct {
-	Name string
-	Of   func(PathCost) float64
+	Name  string
+	Value func(PathCost) float64
 }{
 	{"set-up us", func(p PathCost) float64 { return p.SetUpMicros }}, {"line us", func(p PathCost) float64 { return p.LineMicros }},
 	{"CPU us a line", func(p PathCost) float64 { return p.CPUMicrosPerLine }}, {"memory KB a connection", func(p PathCost) float64 { return p.MemoryKBPerConn }},
@@ -69,8 +69,8 @@
 func (c Cost) Summary() string {
 	var parts []string
 	for _, figure := range CostFigures {
-		relay, proxy := c.Medians(figure.Of)
-		parts = append(parts, fmt.Sprintf("%s %.3g/%.3g=%.2f", figure.Name, proxy, relay, c.MedianRatio(figure.Of)))
+		relay, proxy := c.Medians(figure.Value)
+		parts = append(parts, fmt.Sprintf("%s %.3g/%.3g=%.2f", figure.Name, proxy, relay, c.MedianRatio(figure.Value)))
 	}
 	return strings.Join(parts, ", ")
 }
--- a/lab/experiment/file.go
+++ b/lab/experiment/file.go
@@ -67,13 +67,13 @@
 		// Probe is the work of a probe, Load that of an established connection in a second, on average.
 		Probe, Load        Duration
 		LoadSpread         float64  `toml:"load-spread"`          // sigma of the log-normal distribution of connections' loads; 0 for equal loads
-		LoadChange         Duration `toml:"load-change"`          // how long a connection's load lasts, on average; 0 for ever
+		LoadChange         Duration `toml:"load-change"`          // how long a connection's load lasts, on average; 0 if it never changes
 		GroupCost          float64  `toml:"group-cost"`           // work of a server for each group with a connection there, in mean loads
 		ConnectionsPerCore int      `toml:"connections-per-core"` // 0 for no limit
 		QueuePerCore       int      `toml:"queue-per-core"`       // pending set-ups; 0 for no limit
 		// Message is the time that a message takes on an idle core of speed 1, Notice the delay of discovery's answers.
 		Message, Notice Duration
-		Weights         string // what discovery tells of server sizes: "none", "nominal" or "rough"
+		Weights         string // the weights of servers on discovery's list: "none", "nominal" or "rough"
 		TellsLoad       bool   `toml:"tells-load"` // servers report the load of their connections
 		// Probes tells whether servers answer probes, Sheds whether a draining server asks its clients to move.
 		Probes, Sheds bool
@@ -148,6 +148,7 @@
 	Sites  int      // machine m is in site m modulo Sites, with the servers of zone m modulo Sites; 0 for one site
 }
 
+// voterCount and siteCount return the numbers of voters and sites, with 0 replaced by its meaning.
 func (c Control) voterCount() int { return cmp.Or(c.Voters, c.Agents) }
 func (c Control) siteCount() int  { return cmp.Or(c.Sites, 1) }
 
@@ -355,6 +356,7 @@
 	value    float64
 }
 
+// boundPattern matches a comparison operator with a number or a duration.
 var boundPattern = regexp.MustCompile(`^(<=|>=|<|>|=)\s*(\S+)$`)
 
 // parseBound parses a bound such as ">= 0.9" or "<= 300ms". Durations become milliseconds, the unit of figures that are times.
--- a/lab/fleet/trouble.go
+++ b/lab/fleet/trouble.go
@@ -78,7 +78,7 @@
 	"fault-one-way":    "machines receive from the others, but nothing that they send arrives",
 	"fault-deaf":       "machines reach the others, but receive nothing",
 	"fault-reset":      "as fault-cut, and all connections between machines are reset",
-	"fault-slow":       "all links between machines have a delay of 500 ms and lose a fifth of the pieces, which TCP sends again",
+	"fault-slow":       "all links between machines have a delay of 500 ms and lose a fifth of the chunks, which are retransmitted",
 	"fault-flap":       "machines are cut off and reconnected in turn, every 300 ms",
 	"fault-ring":       "each machine reaches only its two neighbours",
 	"fault-site-cut":   "sites are cut off from the others: their machines, and the links of these to the servers of other zones",
--- a/lab/ledger/judge.go
+++ b/lab/ledger/judge.go
@@ -184,8 +184,8 @@
 	return sum
 }
 
-// lastLinkCut returns the last interval beginning no later than by in which a proxy was cut off from a server, and how much of
-// it had passed by then.
+// lastLinkCut returns the last interval in which a proxy was cut off from a server and which had begun by a given time, and how
+// long it had lasted at that time.
 func (c *checker) lastLinkCut(proxy, server int, by Micros) (found interval, lasted Micros) {
 	if server < 0 || server >= len(c.parameters.Servers) {
 		return interval{}, 0
--- a/lab/load/arrivals.go
+++ b/lab/load/arrivals.go
@@ -92,7 +92,7 @@
 	return drawn
 }
 
-// chooseProduct returns the index of the product at x, from 0 to 1, of the cumulated shares.
+// chooseProduct returns the index of the product in whose range x, from 0 to 1, lies when the shares are laid end to end.
 func chooseProduct(products []Product, x float64) int {
 	total := 0.0
 	for _, p := range products {
--- a/lab/load/session.go
+++ b/lab/load/session.go
@@ -139,7 +139,7 @@
 	return 1 + s.rng.IntN(s.habits.ZoneCount-1)
 }
 
-// now is the time since the run's start.
+// now returns the time since the run's start.
 func (s *session) now() Micros { return s.eventLog.Now() - s.start }
 
 // sleepUntil waits until a time of the run. It returns false if the run is over by then or is broken off.
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -152,6 +152,7 @@
 	return template.HTML(text.Bytes()[start:]), nil
 }
 
+// The colours of the plots.
 var (
 	blue  = color.RGBA{R: 0x1f, G: 0x5f, B: 0xa8, A: 0xff}
 	grey  = color.RGBA{R: 0x90, G: 0x90, B: 0x90, A: 0xff}
