--- a/lab/world/duties_test.go
+++ b/lab/world/duties_test.go
@@ -14,8 +14,9 @@
 	"hatchproxy/logic"
 )
 
-// mutant names the safeguards that the simulated agents leave out, those set to true, to prove that their absence is detected.
-type mutant struct{ leaseFromAnswer, noElectionWait, noQuorumRound, noBarrier, noFencing, noTermCheck, ownTokens, fastClocks bool }
+// mutant selects the safeguards that the simulated agents leave out, those set to true, to prove that their absence is detected.
+// TestEachMissingSafeguardIsDetected describes each of them.
+type mutant struct{ leaseFromResponse, noElectionWait, noQuorumRound, noBarrier, noFencing, noTermCheck, ownTokens, fastClocks bool }
 
 // replicatedLog is the state of the log that a majority of the agents has committed, as raft would maintain it.
 type replicatedLog struct {
@@ -41,7 +42,8 @@
 	stalledUntil logic.Micros
 }
 
-// cluster simulates agents that grant duties and agents that hold them. It counts the violations of what leases guarantee.
+// cluster simulates agents that grant duties and agents that hold them. It counts the violations of what leases guarantee. Grantor g is
+// node g of the World, and holder h is node 100+h.
 type cluster struct {
 	*world.World
 	mutant
@@ -56,7 +58,7 @@
 	effects       int // accepted ones
 	violations    map[string]int
 	heldChecks    logic.Micros // checks that found a holder who could act
-	checks        int          // of one duty at one moment
+	checks        int          // each of one duty at one moment
 }
 
 const (
@@ -64,9 +66,9 @@
 	commitDelay   = 20 * logic.Millisecond
 )
 
-// newCluster returns a cluster in which requests, grants, effects, checks and troubles are scheduled.
+// newCluster returns a cluster in which requests, grants, effects, checks and faults are scheduled.
 func newCluster(seed int64, grantors, holders, duties int, m mutant) *cluster {
-	c := &cluster{mutant: m, World: world.New(seed, world.Network{LossRate: 0.05, DuplicateRate: 0.05, MinDelay: logic.Millisecond, MaxDelay: 60 * logic.Millisecond}),
+	c := &cluster{mutant: m, World: world.New(seed, world.Network{LossProbability: 0.05, DuplicateProbability: 0.05, MinDelay: logic.Millisecond, MaxDelay: 60 * logic.Millisecond}),
 		log: replicatedLog{grants: map[string]lease.Grant{}}, highestTokens: map[string]uint64{}, holderOfToken: map[uint64]int{}, violations: map[string]int{}, leader: -1}
 	maxDrift := 0.05
 	if m.fastClocks {
@@ -90,7 +92,7 @@
 		c.After(c.drawBelow(100*logic.Millisecond), func() { c.commitDueGrants(g) })
 	}
 	c.After(0, c.checkHolders)
-	c.After(c.drawBelow(3*logic.Second), c.injectTrouble)
+	c.After(c.drawBelow(3*logic.Second), c.injectFault)
 	return c
 }
 
@@ -166,7 +168,7 @@
 		tokens := g.lease.Renew(g.clock.Now(), request, g.applied, nil)
 		c.Send(n, 100+h, func() {
 			c.After(max(0, holder.stalledUntil-c.Now()), func() {
-				if c.leaseFromAnswer {
+				if c.leaseFromResponse {
 					sent = holder.clock.Now()
 				}
 				holder.lease.Update(sent, tokens)
@@ -196,7 +198,7 @@
 		c.After(commitDelay, func() {
 			proposer.FinishGrant(duty)
 			if c.leader != n || !c.noTermCheck && c.term != term || c.log.grants[duty].Token != grant.Token {
-				return // the log has another leader, or another grant by now
+				return // the proposer no longer leads in the term of its proposal, or another grant has been committed
 			}
 			c.log.lastToken++
 			g.lastOwnToken++
@@ -276,9 +278,9 @@
 	}
 }
 
-// injectTrouble stalls an agent, cuts a holder off from an agent in one or both directions, or elects another leader.
-func (c *cluster) injectTrouble() {
-	c.After(c.drawBelow(4*logic.Second), c.injectTrouble)
+// injectFault stalls an agent, cuts a holder off from an agent in one or both directions, or elects another leader.
+func (c *cluster) injectFault() {
+	c.After(c.drawBelow(4*logic.Second), c.injectFault)
 	duration := c.drawBelow(6 * logic.Second)
 	switch c.Rng.Intn(4) {
 	case 0:
@@ -332,7 +334,7 @@
 
 func TestEachMissingSafeguardIsDetected(t *testing.T) {
 	for name, m := range map[string]mutant{
-		"lease counted from the response": {leaseFromAnswer: true}, "no wait after an election": {noElectionWait: true}, "no confirmation by a majority": {noQuorumRound: true},
+		"lease counted from the response": {leaseFromResponse: true}, "no wait after an election": {noElectionWait: true}, "no confirmation by a majority": {noQuorumRound: true},
 		"no barrier after an election": {noBarrier: true}, "no fencing": {noFencing: true}, "grants committed in a later term": {noTermCheck: true}, "each leader counts its own tokens": {ownTokens: true}, "clocks drift beyond the bound": {fastClocks: true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -22,8 +22,8 @@
 
 // Network describes the message traffic between nodes that are not cut off from each other.
 type Network struct {
-	LossRate, DuplicateRate float64      // shares of the messages, 0 to 1
-	MinDelay, MaxDelay      logic.Micros // bounds of the delay, which is evenly distributed
+	LossProbability, DuplicateProbability float64      // of each message, 0 to 1
+	MinDelay, MaxDelay                    logic.Micros // bounds of the delay, which is evenly distributed
 }
 
 // event is a call that is due at a time.
@@ -77,10 +77,10 @@
 
 // Send sends a message: receive is called after a random delay, once for each copy that arrives, or never if the message is lost.
 func (w *World) Send(from, to int, receive func()) {
-	if w.cuts[[2]int{from, to}] || w.Rng.Float64() < w.Network.LossRate {
+	if w.cuts[[2]int{from, to}] || w.Rng.Float64() < w.Network.LossProbability {
 		return
 	}
-	for range 1 + w.oneWithProbability(w.Network.DuplicateRate) {
+	for range 1 + w.oneWithProbability(w.Network.DuplicateProbability) {
 		w.After(w.Network.MinDelay+logic.Micros(w.Rng.Int63n(int64(w.Network.MaxDelay-w.Network.MinDelay+1))), receive)
 	}
 }
