--- a/lab/chaos/chaos_test.go
+++ b/lab/chaos/chaos_test.go
@@ -144,6 +144,7 @@
 	return cluster
 }
 
+// settleBound is the bound that docs/faults.md derives.
 const settleBound = chaos.SettleBound
 
 // breachKinds returns the set of the kinds of breaches.
@@ -180,9 +181,9 @@
 	require.True(t, found["two leaders"] && found["changed"] && found["lost"], found)
 }
 
-// A voter loses its disk or has it rolled back, restarts, and the only other agent that it reaches was cut off before: the two of them
-// are a majority, but must not elect a leader that lacks committed commands. Agents once did so, as the faulty agents of the last two
-// cases do.
+// One of three agents is cut off, so that it misses commands that the other two commit. When the cut ends, a second one restarts with a
+// lost or rolled back disk and the third is down: the first two are a majority, but must not elect a leader that lacks committed commands.
+// Agents once did so, as the faulty agents of the last two cases do.
 func TestAVoterThatHasForgottenDoesNotMakeTheOthersForget(t *testing.T) {
 	ms := time.Millisecond
 	cut := chaos.Fault{Kind: chaos.Cut, Duration: 3500 * ms, Target: 2}
@@ -243,7 +244,7 @@
 	require.Eventually(t, changeVoters(4, "forget", "a0"), timeout, interval)
 	require.Eventually(t, hasVoters(4, "a1", "a2", "a3"), timeout, interval)
 	cluster.CrashMachine(1)
-	require.Eventually(t, submit(4, "two"), timeout, interval, "a2 and a3 are a majority of the voters")
+	require.Eventually(t, submit(4, "two"), timeout, interval, "a2 and a3 are a majority of the three voters")
 	require.NoError(t, cluster.StartAgent(1))
 	require.Eventually(t, changeVoters(2, "demote", "a3"), timeout, interval)
 	require.Eventually(t, hasVoters(3, "a1", "a2"), timeout, interval)
@@ -386,8 +387,9 @@
 	}
 }
 
-// The holder of a duty is paused, cut off and crashes, and so does the leader, which grants the duty. No agent may act on the duty after
-// another one can, as long as clocks are within their bounds; with a clock far beyond them the check must find two holders.
+// The holder of a duty is paused, is cut off and crashes in turn, and the leader, which grants the duty, crashes. Once another agent can
+// act on the duty, the earlier holder must not, as long as clocks are within their bounds. With a clock far beyond them, the check must
+// find two holders.
 func TestADutyHasOneHolderAtATime(t *testing.T) {
 	ms := time.Millisecond
 	faults := []chaos.Fault{{Kind: chaos.AgentPause, At: 1500 * ms, Duration: 3500 * ms, Target: chaos.TargetHolder}, {Kind: chaos.Cut, At: 5500 * ms, Duration: 3500 * ms, Target: chaos.TargetHolder},
--- a/lab/chaos/cluster.go
+++ b/lab/chaos/cluster.go
@@ -59,7 +59,7 @@
 )
 
 // Cluster is a set of simulated machines, each with an agent that reaches the others only through the links of Network. Machines and
-// agents have the same numbers, from 0. Its methods are safe for concurrent use.
+// agents have the same numbers, from 0. The methods that start, stop and change machines are safe for concurrent use.
 type Cluster struct {
 	ClusterConfig
 	Network        *links.Network
@@ -117,6 +117,8 @@
 	}
 	c := &Cluster{ClusterConfig: config, Network: links.New(config.Seed), agentCommand: command, folder: folder, agentProcesses: make([]*agentProcess, agents), instancesPaused: make([]bool, agents)}
 	addressRange := byte(20 + (uint32(os.Getpid())*7+clusterCount.Add(1))%200)
+	// A machine has an address for each of the four uses below. The second and third byte tell apart clusters and processes, the third
+	// the uses, too.
 	address := func(use, machine int) netip.Addr {
 		return netip.AddrFrom4([4]byte{127, addressRange, byte(use*60 + os.Getpid()%60), byte(machine + 1)})
 	}
@@ -171,7 +173,7 @@
 			return nil, err
 		}
 	}
-	c.linkFaults.update(nil, 0, 0)
+	c.linkFaults.update(nil, 0, 0) // applies the delay between sites
 	return c, nil
 }
 
@@ -349,7 +351,8 @@
 	return pids
 }
 
-// procStatField returns a field of /proc/PID/stat, counted from 0 at the process state; "" if there is no such process or field.
+// procStatField returns a field of /proc/PID/stat, counted from 0 at the process state: 1 is the parent's process ID, 19 the start time,
+// which tells a process from a later one with the same ID. It returns "" if there is no such process or field.
 func procStatField(pid, field int) string {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/lab/chaos/judge.go
+++ b/lab/chaos/judge.go
@@ -25,7 +25,7 @@
 	ID     string // of the command
 }
 
-// InstanceReport is what an instance reported about itself.
+// InstanceReport is what an instance reported about itself when it was asked for its status.
 type InstanceReport struct {
 	Instance           string
 	Machine            int
@@ -35,7 +35,7 @@
 	Orders             map[string]AppliedOrder // by server
 }
 
-// RecordedExit is an unexpected exit of an agent.
+// RecordedExit is an AgentExit whose time is relative to the start of the recording.
 type RecordedExit struct {
 	Agent int
 	At    time.Duration
@@ -52,7 +52,7 @@
 	HeldDuties     map[string]uint64 // the tokens of the duties that it may act on
 	RecentCommands map[uint64]string // the IDs of the last few hundred commands, by number
 
-	oldestNumber uint64 // the lowest number in RecentCommands; set by FindBreaches
+	oldestNumber uint64 // the lowest number in RecentCommands, math.MaxUint64 if there is none; set by FindBreaches
 }
 
 // Record is what was recorded in a run. It is checked after the run.
@@ -67,7 +67,7 @@
 	AgentSettleTime    time.Duration // from LastFaultEnd until all agents had applied a new command; 0 if they did not
 	InstanceSettleTime time.Duration // from LastFaultEnd until all instances had applied it; 0 if they did not
 
-	HasInstances bool // whether the cluster has instances
+	HasInstances bool // the machines' agents run instances
 }
 
 // Breach is a violation of what the agents and instances guarantee.
@@ -79,8 +79,8 @@
 
 // FindBreaches checks a record and returns all breaches found in it, of these kinds:
 //   - changed: agents, or one agent at two times, report two commands under one number, or one command under two numbers;
-//   - lost: a command was answered with a number, but an agent that has applied commands up to it has another one there, or no agent
-//     ever reported the command under that number;
+//   - lost: a command was answered with a number, but an agent that has applied commands up to it has another one there, or the agents
+//     reported the command last under another number, or never;
 //   - two leaders: two agents led in the same term;
 //   - not settled: the agents did not all apply a new command within the bound after the last fault, or the instances within
 //     InstanceSettleBound more;
@@ -101,38 +101,38 @@
 	leaderByTerm, idByNumber, numberByID := map[uint64]int{}, map[uint64]string{}, map[string]uint64{}
 	isReported := map[string]bool{} // by breach; each is reported once
 	isFirst := func(key string) bool { wasReported := isReported[key]; isReported[key] = true; return !wasReported }
-	for i, s := range reports {
-		if reports[i].oldestNumber = math.MaxUint64; len(s.RecentCommands) > 0 {
-			reports[i].oldestNumber = slices.Min(slices.Collect(maps.Keys(s.RecentCommands)))
+	for i, report := range reports {
+		if reports[i].oldestNumber = math.MaxUint64; len(report.RecentCommands) > 0 {
+			reports[i].oldestNumber = slices.Min(slices.Collect(maps.Keys(report.RecentCommands)))
 		}
-		if s.IsLeader {
-			if other, known := leaderByTerm[s.Term]; known && other != s.Agent && isFirst(fmt.Sprint("term", s.Term)) {
-				add("two leaders", s.AskedAt, "a%d and a%d both led in term %d", other, s.Agent, s.Term)
+		if report.IsLeader {
+			if other, known := leaderByTerm[report.Term]; known && other != report.Agent && isFirst(fmt.Sprint("term", report.Term)) {
+				add("two leaders", report.AskedAt, "a%d and a%d both led in term %d", other, report.Agent, report.Term)
 			}
-			leaderByTerm[s.Term] = s.Agent
+			leaderByTerm[report.Term] = report.Agent
 		}
-		for _, n := range sortedNumbers(s.RecentCommands) {
-			id := s.RecentCommands[n]
+		for _, n := range sortedNumbers(report.RecentCommands) {
+			id := report.RecentCommands[n]
 			if other, known := idByNumber[n]; known && other != id && isFirst(fmt.Sprint("number", n)) {
-				add("changed", s.AskedAt, "number %d is %s, but %s according to a%d", n, other, id, s.Agent)
+				add("changed", report.AskedAt, "number %d is %s, but %s according to a%d", n, other, id, report.Agent)
 			}
 			if other, known := numberByID[id]; known && other != n && isFirst("id"+id) {
-				add("changed", s.AskedAt, "%s has number %d, but %d according to a%d", id, other, n, s.Agent)
+				add("changed", report.AskedAt, "%s has number %d, but %d according to a%d", id, other, n, report.Agent)
 			}
 			idByNumber[n], numberByID[id] = id, n
 		}
 	}
-	for _, c := range r.Submissions {
-		if c.Number == 0 {
+	for _, submission := range r.Submissions {
+		if submission.Number == 0 {
 			continue
 		}
-		for _, s := range reports {
-			if s.AppliedIndex >= c.Number && c.Number >= s.oldestNumber && s.RecentCommands[c.Number] != c.ID && isFirst("lost"+c.ID) {
-				add("lost", s.AskedAt, "%s was answered with number %d, but a%d has applied commands up to %d and has %q there", c.ID, c.Number, s.Agent, s.AppliedIndex, s.RecentCommands[c.Number])
+		for _, report := range reports {
+			if report.AppliedIndex >= submission.Number && submission.Number >= report.oldestNumber && report.RecentCommands[submission.Number] != submission.ID && isFirst("lost"+submission.ID) {
+				add("lost", report.AskedAt, "%s was answered with number %d, but a%d has applied commands up to %d and has %q there", submission.ID, submission.Number, report.Agent, report.AppliedIndex, report.RecentCommands[submission.Number])
 			}
 		}
-		if numberByID[c.ID] != c.Number && isFirst("lost"+c.ID) {
-			add("lost", c.EndedAt, "%s was answered with number %d by a%d, but was never seen there: it was seen at %d, and %q at the answered number", c.ID, c.Number, c.Agent, numberByID[c.ID], idByNumber[c.Number])
+		if numberByID[submission.ID] != submission.Number && isFirst("lost"+submission.ID) {
+			add("lost", submission.EndedAt, "%s was answered with number %d by a%d, but was never seen there: it was seen at %d, and %q at the answered number", submission.ID, submission.Number, submission.Agent, numberByID[submission.ID], idByNumber[submission.Number])
 		}
 	}
 	for _, exit := range r.UnexpectedExits {
@@ -240,44 +240,44 @@
 	return gaps
 }
 
-// checkLinearizability finds the breach out of order. In a single log, the place of a command comes after those of all commands that were
-// answered before it was submitted, and every submission of a command is answered with the same place. As the answers give the places,
-// one pass in their order is enough: the earliest moment at which a command can have taken its place is that of its first submission, or
-// that of the command before it if that is later, and it must not be after the command's first answer. places has the numbers of
-// commands that agents reported, by ID.
-func checkLinearizability(submissions []Submission, places map[string]uint64) (breaches []Breach) {
-	type placement struct {
+// checkLinearizability finds the breach out of order. In a single log, a command has a higher number than all commands that were answered
+// before it was submitted, and every submission of a command is answered with the same number. Since the answers give the numbers, one
+// pass in their order is enough: a command can have entered the log at the moment of its first submission at the earliest, or at the
+// earliest moment of the command before it if that is later, and this must not be after the command's first answer. numberByID has the
+// numbers of commands that agents reported.
+func checkLinearizability(submissions []Submission, numberByID map[string]uint64) (breaches []Breach) {
+	type loggedCommand struct {
 		id               string
-		place            uint64
-		earliest, latest time.Duration // when the command can have taken its place
+		number           uint64
+		earliest, latest time.Duration // when the command can have entered the log
 	}
-	placements := map[string]*placement{}
-	for _, s := range submissions {
-		p := placements[s.ID]
-		if p == nil {
-			p = &placement{s.ID, places[s.ID], s.SubmittedAt, math.MaxInt64}
-			placements[s.ID] = p
+	commands := map[string]*loggedCommand{}
+	for _, submission := range submissions {
+		command := commands[submission.ID]
+		if command == nil {
+			command = &loggedCommand{submission.ID, numberByID[submission.ID], submission.SubmittedAt, math.MaxInt64}
+			commands[submission.ID] = command
 		}
-		p.earliest = min(p.earliest, s.SubmittedAt)
-		if s.Number == 0 {
+		command.earliest = min(command.earliest, submission.SubmittedAt)
+		if submission.Number == 0 {
 			continue
 		}
-		if p.place != 0 && p.place != s.Number {
-			breaches = append(breaches, Breach{"out of order", s.EndedAt, fmt.Sprintf("%s has number %d, but was answered with %d", s.ID, p.place, s.Number)})
+		if command.number != 0 && command.number != submission.Number {
+			breaches = append(breaches, Breach{"out of order", submission.EndedAt, fmt.Sprintf("%s has number %d, but was answered with %d", submission.ID, command.number, submission.Number)})
 		}
-		p.place, p.latest = s.Number, min(p.latest, s.EndedAt)
+		command.number, command.latest = submission.Number, min(command.latest, submission.EndedAt)
 	}
-	inOrder := slices.SortedFunc(maps.Values(placements), func(a, b *placement) int { return cmp.Compare(a.place, b.place) })
-	var previous placement // the command with the latest earliest moment so far
-	for _, p := range inOrder {
-		if p.place == 0 {
+	inOrder := slices.SortedFunc(maps.Values(commands), func(a, b *loggedCommand) int { return cmp.Compare(a.number, b.number) })
+	var previous loggedCommand // of the commands with lower numbers, the one whose earliest moment is the latest
+	for _, command := range inOrder {
+		if command.number == 0 {
 			continue // it was not committed, or its number is unknown
 		}
-		if p.earliest > previous.earliest {
-			previous = *p
+		if command.earliest > previous.earliest {
+			previous = *command
 		}
-		if previous.earliest > p.latest {
-			breaches = append(breaches, Breach{"out of order", p.latest, fmt.Sprintf("%s was answered with %d before %s was submitted, which has number %d", p.id, p.place, previous.id, previous.place)})
+		if previous.earliest > command.latest {
+			breaches = append(breaches, Breach{"out of order", command.latest, fmt.Sprintf("%s was answered with %d before %s was submitted, which has number %d", command.id, command.number, previous.id, previous.number)})
 		}
 	}
 	return breaches
--- a/lab/chaos/record.go
+++ b/lab/chaos/record.go
@@ -314,8 +314,8 @@
 	return nil
 }
 
-// Shorten removes faults from a schedule as long as fails, which runs a schedule, still returns true for the rest. It returns the
-// shorter schedule, which has at least one fault.
+// Shorten returns the faults of a failing schedule without those that it does not need in order to fail. It tries to remove each fault in
+// turn, and leaves it out if fails, which runs a schedule, returns true without it. At least one fault is left.
 func Shorten(faults []Fault, fails func([]Fault) bool) []Fault {
 	for i := 0; i < len(faults); {
 		fewer := append(append([]Fault{}, faults[:i]...), faults[i+1:]...)
--- a/lab/chaos/schedule.go
+++ b/lab/chaos/schedule.go
@@ -254,7 +254,7 @@
 		}
 		wait(f.Duration)
 		return errors.Join(c.FreeDisk(f.Target), c.StartAgent(f.Target))
-	default:
+	default: // the kinds that only cut links
 		l.update(c.cutDirections(f), 1, 0)
 		if f.Kind == Reset {
 			for _, other := range c.names {
--- a/lab/chaos/spec.go
+++ b/lab/chaos/spec.go
@@ -82,8 +82,8 @@
 }
 
 // Timeline formats a record as text, a line per event in the order of time: faults, outcomes of commands, unexpected exits, changed
-// reports of agents and instances, and the last report of each agent. Times are in seconds since the start of the run. "goes by" marks
-// the orders that an instance has applied.
+// reports of agents and instances, and the last report of each agent. Times are in seconds since the start of the recording. An "unknown"
+// command is one without an answer; "fell" marks an unexpected exit, and "applied" the orders that an instance has applied.
 func (r Record) Timeline() string {
 	type line struct {
 		at   time.Duration
@@ -98,7 +98,7 @@
 	}
 	for _, s := range r.Submissions {
 		if s.Number > 0 {
-			add(s.EndedAt, "answer  a%d: %s, said at %.3f, is number %d", s.Agent, s.ID, s.SubmittedAt.Seconds(), s.Number)
+			add(s.EndedAt, "answer  a%d: %s, submitted at %.3f, is number %d", s.Agent, s.ID, s.SubmittedAt.Seconds(), s.Number)
 		} else {
 			add(s.EndedAt, "unknown a%d: %s", s.Agent, s.ID)
 		}
@@ -119,7 +119,7 @@
 	lastInstanceReports := map[string]InstanceReport{}
 	for _, report := range r.InstanceReports {
 		if last, known := lastInstanceReports[report.Instance]; !known || last.ProcessStartMicros != report.ProcessStartMicros || last.Term != report.Term || !maps.Equal(last.Orders, report.Orders) {
-			add(report.AskedAt, "goes by %s: process %d, term %d, %v", report.Instance, report.ProcessStartMicros, report.Term, report.Orders)
+			add(report.AskedAt, "applied %s: process %d, term %d, %v", report.Instance, report.ProcessStartMicros, report.Term, report.Orders)
 		}
 		lastInstanceReports[report.Instance] = report
 	}
--- a/lab/chaos/spread.go
+++ b/lab/chaos/spread.go
@@ -17,7 +17,8 @@
 }
 
 // MeasureSpread starts the agents, submits commands one after the other, each to the next agent, and measures how fast they reach all
-// agents. Then it measures the traffic without commands for the time of idle. It returns what was measured so far with an error.
+// agents. Then it measures the traffic between machines for the given idle time, in which no commands are submitted. If it fails, it returns
+// what was measured until then with the error.
 func (c *Cluster) MeasureSpread(ctx context.Context, commands int, idle time.Duration) (SpreadResult, error) {
 	var result SpreadResult
 	for machine := range c.names {
