--- a/lab/links/links.go
+++ b/lab/links/links.go
@@ -80,7 +80,8 @@
 // AddRelayBetween starts a relay from one machine to a service of another that listens on the target address. Only the calling
 // machine must use it: callers are not identified by the address that they dial from. If a side closes a connection while the
 // direction from it is cut, both sides are reset and pending data is lost, so that nothing is delivered after the cut that its
-// sender has already given up. AddRelayBetween returns the address to call.
+// sender has already given up. For the same reason a connection that is opened during a cut is reset when the cut is over.
+// AddRelayBetween returns the address to call.
 func (n *Network) AddRelayBetween(from, to, target string) (string, error) {
 	return n.listen(from, to, "127.0.0.1:0", target)
 }
--- a/lab/sysfault/filter.go
+++ b/lab/sysfault/filter.go
@@ -111,7 +111,7 @@
 		return -1, command.Err
 	}
 	command.ExtraFiles = append(command.ExtraFiles, launcherEnd)
-	const firstExtra = 3
+	const firstExtra = 3 // the first descriptor of ExtraFiles in the child
 	command.Env = append(command.Environ(), launcherCallsEnv+"="+strings.Join(calls, ","),
 		launcherSocketEnv+"="+strconv.Itoa(firstExtra+len(command.ExtraFiles)-1))
 	command.Args[0] = command.Path // the program that the launcher executes
@@ -127,7 +127,7 @@
 
 // receiveListener receives the listener's descriptor from the launcher.
 func receiveListener(socket int) (int, error) {
-	const oneDescriptor = 4
+	const oneDescriptor = 4 // bytes
 	data, control := make([]byte, 1), make([]byte, unix.CmsgSpace(oneDescriptor))
 	n, controlSize, _, _, err := unix.Recvmsg(socket, data, control, unix.MSG_CMSG_CLOEXEC)
 	if err != nil {
--- a/lab/sysfault/sysfault.go
+++ b/lab/sysfault/sysfault.go
@@ -23,13 +23,13 @@
 	Accept    CallGroup = "accept"
 	Socket    CallGroup = "socket"
 	Connect   CallGroup = "connect"
-	Wait      CallGroup = "wait"    // epoll_wait, epoll_pwait and nanosleep
+	Wait      CallGroup = "wait"    // epoll_wait, epoll_pwait, and nanosleep, with which threads sleep
 	Read      CallGroup = "read"    // of sockets only
 	Write     CallGroup = "write"   // of sockets only
 	Open      CallGroup = "open"    // of files
 	Sync      CallGroup = "sync"    // fsync, fdatasync
 	Control   CallGroup = "control" // epoll_ctl that adds a descriptor, the only kind that needs memory
-	Duplicate CallGroup = "copy"    // fcntl, which duplicates descriptors
+	Duplicate CallGroup = "copy"    // fcntl, with which descriptors are duplicated; its other commands fail, too
 )
 
 // callNumbers lists the system calls of each group, on amd64.
