--- a/ci_test.go
+++ b/ci_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ci runs .ci/tests in a small module of its own, with this list of known red tests.
+// ci runs .ci/tests in a small module of its own, whose KNOWN-RED.txt has the given lines, and returns the output. Without lines there is
+// no such file.
 func ci(t *testing.T, list string) (string, error) {
 	t.Parallel()
 	script, err := filepath.Abs(".ci/tests")
@@ -38,13 +39,13 @@
 	return string(out), err
 }
 
-func TestWithoutAListAFailingTestFailsCI(t *testing.T) {
+func TestFailingTestThatIsNotListedFailsCI(t *testing.T) {
 	out, err := ci(t, "")
 	require.Error(t, err)
 	require.Contains(t, out, "--- FAIL: TestBad ")
 }
 
-func TestAKnownRedTestIsPrintedAndPassedOver(t *testing.T) {
+func TestFailingKnownRedTestIsPrintedAndDoesNotFailCI(t *testing.T) {
 	out, err := ci(t, "./a TestBad; a real fault; issue 39\n")
 	require.NoError(t, err, out)
 	require.Contains(t, out, "known red: ./a TestBad; a real fault; issue 39\n")
@@ -52,14 +53,14 @@
 	require.Contains(t, out, "ok  \tsmall/a")
 }
 
-func TestAKnownRedTestThatPassesIsDueForRemovalAndHidesNoOther(t *testing.T) {
+func TestPassingKnownRedTestIsReportedAndHidesNoOtherFailure(t *testing.T) {
 	out, err := ci(t, "./a TestGood; none; issue 39\n")
 	require.Error(t, err, "TestBad is not listed")
 	require.Contains(t, out, "known red: TestGood passes: its line is due for removal\n")
 	require.Contains(t, out, "--- FAIL: TestBad ")
 }
 
-func TestAListThatIsWrongFailsCI(t *testing.T) {
+func TestInvalidKnownRedListFailsCI(t *testing.T) {
 	for list, words := range map[string]string{
 		"./a TestNone; a fault; issue 39\n": "there is no test TestNone in ./a",
 		"./a TestBa; a fault; issue 39\n":   "there is no test TestBa in ./a",
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -175,8 +175,8 @@
 // End ends a request whose client has left, or whose established connection has ended.
 func (r *Request) End() { r.state = Ended }
 
-// CheckClose only checks: it returns the violation that it would be if the proxy closed the client's connection now, or nil. It
-// changes no state.
+// CheckClose returns the violation that closing the client's connection now would be, or nil if the proxy may close it. It does not
+// change the request.
 func (r *Request) CheckClose() error {
 	switch r.state {
 	case Reading:
