--- a/lab/chaos/chaos_test.go
+++ b/lab/chaos/chaos_test.go
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestAgentsThatAgreeWithNobodyAreConvicted(t *testing.T) {
+func TestLeadersThatCommitAloneCauseBreaches(t *testing.T) {
 	cluster := newCluster(t, "fake-leader", 3, 0, 3)
 	r, err := cluster.RunSchedule(t.Context(), []chaos.Fault{{Kind: chaos.Cut, Duration: 200 * time.Millisecond}})
 	require.NoError(t, err)
@@ -184,7 +184,7 @@
 // One of three agents is cut off, so that it misses commands that the other two commit. When the cut ends, a second one restarts with a
 // lost or rolled back disk and the third is down: the first two are a majority, but must not elect a leader that lacks committed commands.
 // Agents once did so, as the faulty agents of the last two cases do.
-func TestAVoterThatHasForgottenDoesNotMakeTheOthersForget(t *testing.T) {
+func TestVoterWithLostOrOldDiskCausesNoLostCommands(t *testing.T) {
 	ms := time.Millisecond
 	cut := chaos.Fault{Kind: chaos.Cut, Duration: 3500 * ms, Target: 2}
 	lost := []chaos.Fault{cut, {Kind: chaos.DiskLost, At: 3400 * ms, Duration: 20 * ms, Target: 1}, {Kind: chaos.Crash, At: 3400 * ms, Duration: 3000 * ms}}
@@ -353,12 +353,12 @@
 
 // A command forwarded to a leader that has just been cut off must get an answer or an error as soon as another leader is elected.
 // Clients once waited 6 s.
-func TestACommandPassedOnToALeaderThatIsCutOffIsAnsweredSoon(t *testing.T) {
+func TestCommandForwardedToACutOffLeaderIsAnsweredSoon(t *testing.T) {
 	cluster := newCluster(t, "agent", 3, 0, 3)
 	for a := range 3 {
 		require.NoError(t, cluster.StartAgent(a))
 	}
-	require.NoError(t, cluster.AwaitFirstAgreement(t.Context()))
+	require.NoError(t, cluster.AwaitFirstCommit(t.Context()))
 	leader := -1
 	for a := range 3 {
 		require.NoError(t, cluster.CallAgent(t.Context(), a, func(ctx context.Context, c *agent.Client) error {
@@ -424,7 +424,7 @@
 		for a := range 3 {
 			require.NoError(t, cluster.StartAgent(a))
 		}
-		require.NoError(t, cluster.AwaitFirstAgreement(t.Context()))
+		require.NoError(t, cluster.AwaitFirstCommit(t.Context()))
 		leadsAndHolds := func(a int) (isLeader, isHolder bool) {
 			_ = cluster.CallAgent(t.Context(), a, func(ctx context.Context, c *agent.Client) error {
 				view, err := c.View(ctx)
@@ -466,7 +466,7 @@
 			for a := range 5 {
 				require.NoError(t, cluster.StartAgent(a))
 			}
-			require.NoError(t, cluster.AwaitFirstAgreement(t.Context()))
+			require.NoError(t, cluster.AwaitFirstCommit(t.Context()))
 			rec := cluster.StartRecording(t.Context())
 			time.Sleep(3 * time.Second)
 			for n := range 25 {
--- a/lab/chaos/record.go
+++ b/lab/chaos/record.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// firstAgreementTimeout bounds the time that the agents take to commit their first command, also on a busy host.
-	firstAgreementTimeout = 30 * time.Second
+	// firstCommitTimeout bounds the time that the agents take to commit their first command, also on a busy host.
+	firstCommitTimeout = 30 * time.Second
 	// settleTimeout bounds the wait for the agents to settle. It is longer than any bound that a record is checked against.
 	settleTimeout     = 40 * time.Second
 	agentPollInterval = 40 * time.Millisecond
@@ -259,7 +259,7 @@
 			return Record{}, err
 		}
 	}
-	if err := c.AwaitFirstAgreement(ctx); err != nil {
+	if err := c.AwaitFirstCommit(ctx); err != nil {
 		return Record{}, err
 	}
 	r := c.StartRecording(ctx)
@@ -298,10 +298,10 @@
 	return r.Finish(ctx), errors.Join(faultErrors...)
 }
 
-// AwaitFirstAgreement waits until the agents have committed their first command. It returns an error after firstAgreementTimeout.
-func (c *Cluster) AwaitFirstAgreement(ctx context.Context) error {
+// AwaitFirstCommit waits until the agents have committed their first command. It returns an error after firstAgreementTimeout.
+func (c *Cluster) AwaitFirstCommit(ctx context.Context) error {
 	attempts := 0
-	err := waitUntil(ctx, firstAgreementTimeout, func() bool {
+	err := waitUntil(ctx, firstCommitTimeout, func() bool {
 		attempts++
 		return c.callAgent(ctx, attempts%len(c.names), callTimeout, func(ctx context.Context, client *agent.Client) error {
 			_, err := client.Submit(ctx, clusterstate.Command{ID: "first", Verb: clusterstate.Undrain, Server: "s-first"})
--- a/lab/chaos/spread.go
+++ b/lab/chaos/spread.go
@@ -51,10 +51,10 @@
 		})
 	}
 	var number uint64
-	if err := waitUntil(ctx, firstAgreementTimeout, func() (ok bool) { var err error; number, err = submit(0, "first"); return err == nil }); err != nil {
+	if err := waitUntil(ctx, firstCommitTimeout, func() (ok bool) { var err error; number, err = submit(0, "first"); return err == nil }); err != nil {
 		return result, fmt.Errorf("the agents did not commit a first command: %w", err)
 	}
-	if err := awaitApplied(number, 3*firstAgreementTimeout); err != nil {
+	if err := awaitApplied(number, 3*firstCommitTimeout); err != nil {
 		return result, fmt.Errorf("not all agents applied the first command: %w", err)
 	}
 	for n := range commands {
--- a/lab/experiment/agents.go
+++ b/lab/experiment/agents.go
@@ -104,7 +104,7 @@
 			return err
 		}
 	}
-	if err := a.AwaitFirstAgreement(ctx); err != nil {
+	if err := a.AwaitFirstCommit(ctx); err != nil {
 		return fmt.Errorf("%w:\n%s", err, lastLines(a.LogPath(0), 10))
 	}
 	ctx, a.stopWatching = context.WithCancel(ctx)
